--- /dev/null
+++ b/peer/names_test.go
@@ -0,0 +1,72 @@
+package peer
+
+import (
+	"encoding"
+	"encoding/gob"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/pathhead/pathhead/fleet"
+	"github.com/pathhead/pathhead/internal/outer"
+)
+
+// TestNames guards the names that net/rpc and gob write: a renamed method or field compiles, and a
+// process of another release misses it without an error.
+func TestNames(t *testing.T) {
+	service := reflect.TypeFor[peerService]()
+	require.NotZero(t, service.NumMethod())
+	var names []string
+	for m := range service.Methods() {
+		path := peerName + "." + m.Name
+		names = append(names, path)
+		names = append(names, gobNames(path+" in", m.Type.In(1), nil)...)
+		names = append(names, gobNames(path+" out", m.Type.In(2), nil)...)
+	}
+	names = append(names, gobNames("Document", reflect.TypeFor[fleet.Document](), nil)...)
+	outer.Check(t, "testdata/names.txt", names)
+}
+
+// gobNames returns the paths of all fields that gob writes for a type, with the kinds that it compares.
+// The names of the types are left out, since gob does not compare them.
+func gobNames(path string, typ reflect.Type, within []reflect.Type) []string {
+	for typ.Kind() == reflect.Pointer {
+		typ = typ.Elem()
+	}
+	if encodesItself(typ) {
+		return []string{path + " encoded by " + typ.String()}
+	}
+	switch typ.Kind() {
+	case reflect.Slice, reflect.Array:
+		return gobNames(path+"[]", typ.Elem(), within)
+	case reflect.Map:
+		return append(gobNames(path+"{key}", typ.Key(), within), gobNames(path+"{}", typ.Elem(), within)...)
+	case reflect.Struct:
+	default:
+		return []string{path + " " + typ.Kind().String()}
+	}
+	for _, outside := range within {
+		if outside == typ {
+			return []string{path + " recursive"}
+		}
+	}
+	names := []string{path + " struct"}
+	for f := range typ.Fields() {
+		if f.IsExported() {
+			names = append(names, gobNames(path+"."+f.Name, f.Type, append(within, typ))...)
+		}
+	}
+	return names
+}
+
+func encodesItself(typ reflect.Type) bool {
+	for _, as := range []reflect.Type{
+		reflect.TypeFor[gob.GobEncoder](), reflect.TypeFor[encoding.BinaryMarshaler](), reflect.TypeFor[encoding.TextMarshaler](),
+	} {
+		if typ.Implements(as) || reflect.PointerTo(typ).Implements(as) {
+			return true
+		}
+	}
+	return false
+}
