--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -124,7 +124,7 @@
 }
 
 func (d *Driver) gone(c *Call) {
-	d.Do(func(b *route.Board, now time.Time) []route.Action { return b.Gone(now, c.ID) })
+	d.Do(func(b *route.Board, now time.Time) []route.Action { return b.CallerGone(now, c.ID) })
 }
 
 // act carries out one action; over says that the request has ended.
--- a/node/crash_record.go
+++ b/node/crash_record.go
@@ -95,7 +95,7 @@
 	nodes, _ := n.relays.size()
 	n.Lock()
 	defer n.Unlock()
-	return 2*nodes <= n.Board().Crowd()
+	return 2*nodes <= n.Board().RecentRouters()
 }
 
 // readHeld reads the record.
--- a/node/holders.go
+++ b/node/holders.go
@@ -22,7 +22,7 @@
 const holdersTime = 25 * time.Millisecond
 
 // tellPlaced has peers told of a request, unless too many others wait for that.
-func (n *Node) tellPlaced(p route.Placed) {
+func (n *Node) tellPlaced(p route.PlacementReport) {
 	select {
 	case n.placed <- p:
 	default:
@@ -41,7 +41,7 @@
 	}
 }
 
-func (n *Node) sendPlaced(ctx context.Context, p route.Placed) {
+func (n *Node) sendPlaced(ctx context.Context, p route.PlacementReport) {
 	if _, large := n.relays.size(); !large {
 		if !n.off.Has(route.PlacedWords) {
 			n.gossip.TellPlaced(ctx, p)
@@ -69,7 +69,7 @@
 // Placed implements [peer.PlacedHandler].
 func (n *Node) Placed(w peer.PlacedWord) {
 	n.Lock()
-	n.Board().Filled(n.now(), w.Placed.Fills)
+	n.Board().MergeFills(n.now(), w.Placed.Fills)
 	n.Unlock()
 	if w.Placed.Load.InFlight == 0 {
 		return
@@ -96,7 +96,7 @@
 		return
 	}
 	n.Lock()
-	part, blocks, ok := n.Board().HoldersAsked(req)
+	part, blocks, ok := n.Board().HolderQuery(req)
 	n.Unlock()
 	if !ok {
 		return
@@ -115,7 +115,7 @@
 	}
 	n.Lock()
 	defer n.Unlock()
-	n.Board().Filled(n.now(), answer.Fills)
+	n.Board().MergeFills(n.now(), answer.Fills)
 }
 
 // Holders implements [peer.HoldersHandler].
--- a/node/node.go
+++ b/node/node.go
@@ -84,7 +84,7 @@
 	// off are the mechanisms that an experiment switched off.
 	off route.Mechanisms
 	// placed are the requests that peers are still to be told of.
-	placed chan route.Placed
+	placed chan route.PlacementReport
 }
 
 // Option changes a [Node] at its construction.
@@ -173,7 +173,7 @@
 		limits:        defaultLimits,
 
 		smallFleet: DefaultSmallFleet,
-		placed:     make(chan route.Placed, placedHeld),
+		placed:     make(chan route.PlacementReport, placedHeld),
 		crashSeen:  newWaker(),
 		recording:  newWaker(),
 	}
@@ -196,12 +196,12 @@
 	board := route.NewBoard(
 		route.WithSeed(seed),
 		route.WithRouters(len(s.Seeds)),
-		route.WithUnknownSize(),
+		route.WithPartialPeerList(),
 		route.WithPlacer(n.placement),
-		route.WithNotes(n.events.Record),
+		route.WithEventHandler(n.events.Record),
 		route.WithZone(s.Zone),
 		route.WithMinRetryAfter(minRetryAfter),
-		route.WithOwnRoom(ownRoom),
+		route.WithMaxPendingPrefill(ownRoom),
 		route.WithReusedAddresses(),
 		route.WithoutMechanisms(n.off),
 		route.WithPlaced(n.tellPlaced),
@@ -266,7 +266,7 @@
 // 36 requests/s, the share of one node at the largest size expected, one each second.
 const sampleOne = 32
 
-// ownRoom is the prefill that one node may have waiting at an engine. A zone with
+// maxPendingPrefill is the prefill that one node may have waiting at an engine. A zone with
 // one node has a quarter of the callers at an eighth of the nodes: an even part of
 // 200 ms refused 6 in 100 of its requests while engines were a third busy.
 const ownRoom = 400 * time.Millisecond
--- a/node/relay_answer.go
+++ b/node/relay_answer.go
@@ -120,7 +120,7 @@
 	if out.Whole {
 		out.Word.State.Hot = route.Hottest(out.Word.State.Hot)
 	} else {
-		out.Word.State.Hot = route.MostAsked(out.Word.State.Hot)
+		out.Word.State.Hot = route.TopRates(out.Word.State.Hot)
 	}
 	// One that others have just come to take for a relay has the list to tell with its next report.
 	if in.Asks && out.Word.Relay && r.acting && !r.listAt.IsZero() {
@@ -148,7 +148,7 @@
 		}
 	}
 	out.MembersNext = r.members.Version()
-	if out.Same || in.Known.Epoch != r.roster.Self().Epoch || !r.members.Remembers(in.Known.Members) {
+	if out.Same || in.Known.Epoch != r.roster.Self().Epoch || !r.members.Covers(in.Known.Members) {
 		return
 	}
 	out.Members, _ = r.members.Since(in.Known.Members)
@@ -162,7 +162,7 @@
 		known = peer.RelayCursor{}
 	}
 	out := &peer.RelayNews{ListAge: now.Sub(r.listAt)}
-	if out.Paged = r.entries.Len() > listPageEntries && !r.entries.Remembers(known.Entries); out.Paged {
+	if out.Paged = r.entries.Len() > listPageEntries && !r.entries.Covers(known.Entries); out.Paged {
 		return out
 	}
 	out.Entries, out.EntriesFull = r.entries.Since(known.Entries)
--- a/node/relay_report.go
+++ b/node/relay_report.go
@@ -68,7 +68,7 @@
 	var states []route.PeerState
 	out.Word, states = r.roster.Report(now)
 	out.Word.State = route.Join(append(states, own))
-	out.Word.State.Hot = route.MostAsked(out.Word.State.Hot)
+	out.Word.State.Hot = route.TopRates(out.Word.State.Hot)
 	if was := r.acting; out.Word.Relay != was {
 		r.acting = out.Word.Relay
 		if r.acting && !r.listAt.IsZero() {
--- a/node/settings.go
+++ b/node/settings.go
@@ -135,7 +135,7 @@
 	// beginPart is how much of it may be over when what was sent before begins; the rest
 	// is for withdrawing what still waits then.
 	beginPart = 0.97
-	// memoryPart is the part of the memory limit at which the collector works harder.
+	// memoryFraction is the part of the memory limit at which the collector works harder.
 	memoryPart = 0.6
 )
 
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -159,7 +159,7 @@
 			holder = e
 		}
 	}
-	n.Board().Filled(n.now, []route.Fill{{Target: route.Mark{Target: holder.Seen.Addr, Incarnation: holder.Report.Incarnation}, Block: 7}})
+	n.Board().MergeFills(n.now, []route.Fill{{Target: route.Mark{Target: holder.Seen.Addr, Incarnation: holder.Report.Incarnation}, Block: 7}})
 	require.True(t, n.Board().Uses(holder.Seen.Addr))
 }
 
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -281,7 +281,7 @@
 
 // TellPlaced tells all live peers at once of a request that takes a target long. One
 // that does not hear of it hears of the load with the next exchange.
-func (g *Gossip) TellPlaced(ctx context.Context, p route.Placed) {
+func (g *Gossip) TellPlaced(ctx context.Context, p route.PlacementReport) {
 	var wg sync.WaitGroup
 	for _, e := range g.Live() {
 		wg.Go(func() { g.TellPlacedTo(ctx, e.Addr, p) })
@@ -290,7 +290,7 @@
 }
 
 // TellPlacedTo tells one process of a request that takes a target long.
-func (g *Gossip) TellPlacedTo(ctx context.Context, addr netip.AddrPort, p route.Placed) {
+func (g *Gossip) TellPlacedTo(ctx context.Context, addr netip.AddrPort, p route.PlacementReport) {
 	// An error is seen in the next round too, which tells the same.
 	_ = g.peers.Placed(ctx, addr, PlacedWord{From: g.id, Epoch: g.view.Epoch(), Placed: p})
 }
--- a/peer/gossip_test.go
+++ b/peer/gossip_test.go
@@ -137,10 +137,10 @@
 	x, y := route.Mark{Incarnation: "x"}, route.Mark{Incarnation: "y"}
 	a.state = route.PeerState{Loads: []route.Load{{Target: x, InFlight: 1}, {Target: y, InFlight: 2}}}
 	a.exchangeWith(t.Context(), b)
-	a.TellPlaced(t.Context(), route.Placed{Load: route.Load{Target: x, InFlight: 2, Prefill: 9000}})
+	a.TellPlaced(t.Context(), route.PlacementReport{Load: route.Load{Target: x, InFlight: 2, Prefill: 9000}})
 	loads := func() []route.Load { return b.Live()[0].Payload.State.Loads }
 	require.ElementsMatch(t, []route.Load{{Target: x, InFlight: 2, Prefill: 9000}, {Target: y, InFlight: 2}}, loads())
-	b.Placed(PlacedWord{From: "a", Epoch: 1, Placed: route.Placed{Load: route.Load{Target: x, InFlight: 7}}})
+	b.Placed(PlacedWord{From: "a", Epoch: 1, Placed: route.PlacementReport{Load: route.Load{Target: x, InFlight: 7}}})
 	require.ElementsMatch(t, []route.Load{{Target: x, InFlight: 2, Prefill: 9000}, {Target: y, InFlight: 2}}, loads())
 }
 
--- a/peer/peers.go
+++ b/peer/peers.go
@@ -67,7 +67,7 @@
 type PlacedWord struct {
 	From   string
 	Epoch  int64
-	Placed route.Placed
+	Placed route.PlacementReport
 }
 
 // PlacedHandler takes such words; a [Handler] may be one.
--- a/route/allowance.go
+++ b/route/allowance.go
@@ -187,7 +187,7 @@
 
 // flow returns what this router tells the others.
 func (a *allowance) flow(now time.Time) flow {
-	f := flow{asked: a.asked.rate(now), used: a.used.level(now), known: a.knows(now)}
+	f := flow{asked: a.asked.rate(now), used: a.used.windowRate(now), known: a.knows(now)}
 	if f.known {
 		f.level = a.level
 	}
--- a/route/arrive.go
+++ b/route/arrive.go
@@ -11,23 +11,23 @@
 
 // The bounds of waiting and of choosing who goes next.
 const (
-	drainWindow = 2 * time.Second
-	// headTries is how many of an organisation's first requests, and maxScan how
+	throughputWindow = 2 * time.Second
+	// headsPerOrg is how many of an organisation's first requests, and maxScan how
 	// many of a pool's, are tried for a target with room.
-	headTries = 4
-	maxScan   = 24
+	headsPerOrg = 4
+	maxScan     = 24
 	// spillFactor was measured: 1 spread too early and computed more, see docs/design/queueing.md.
 	spillFactor = 3
-	// decodePrice is what one generated token costs in prefill tokens.
-	decodePrice = 4
-	minCost     = 64
+	// decodeCost is what one generated token costs in prefill tokens.
+	decodeCost = 4
+	minCost    = 64
 )
 
 // Arrive takes a new request: it is sent, queued or refused at once.
 func (b *Board) Arrive(now time.Time, req Request) []Action {
-	r := &request{Request: req, arrived: now, tried: make(map[netip.AddrPort]bool), index: -1, draw: b.rng.Float64()}
+	r := &request{Request: req, arrived: now, tried: make(map[netip.AddrPort]bool), index: -1, sample: b.rng.Float64()}
 	if refusal := b.admit(now, r); refusal != nil {
-		b.note(event.Event{
+		b.emit(event.Event{
 			Code: event.RequestRefused, Request: r.ID, Org: r.Org,
 			Detail: refusal.Cause.String() + ", not-run: " + refusal.Detail,
 		})
@@ -35,15 +35,15 @@
 		return []Action{Refuse{Request: r.ID, Refusal: *refusal}}
 	}
 	b.requests[r.ID] = r
-	b.note(event.Event{Code: event.RequestArrived, Request: r.ID, Org: r.Org, Revision: b.snap.Revision})
-	r.queuedTo = now.Add(b.queueTime(r))
+	b.emit(event.Event{Code: event.RequestArrived, Request: r.ID, Org: r.Org, Revision: b.snap.Revision})
+	r.queueDeadline = now.Add(b.maxQueueTime(r))
 	r.cost = b.cost(r)
-	b.pools[r.Pool].offered.add(now, 1)
+	b.pools[r.Pool].arrivals.add(now, 1)
 	b.countParts(now, r)
 	b.enqueue(now, r)
 	out := b.dispatch(now)
 	if r.attempt == nil {
-		b.note(event.Event{Code: event.RequestQueued, Request: r.ID, Org: r.Org})
+		b.emit(event.Event{Code: event.RequestQueued, Request: r.ID, Org: r.Org})
 	}
 	return out
 }
@@ -69,8 +69,8 @@
 	if rests := b.restRefusal(now, p, r); rests != nil {
 		return rests
 	}
-	wait := p.queue.wait(r.Org, b.weight(r.Org), p.drained.rate(now))
-	if limit := b.queueTime(r); wait > limit {
+	wait := p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now))
+	if limit := b.maxQueueTime(r); wait > limit {
 		return &Refusal{
 			Cause: CauseOverload, RetryAfter: max(wait-limit, b.minRetryAfter),
 			Detail: fmt.Sprintf("the queue is %s long", wait.Round(time.Millisecond)),
@@ -81,15 +81,15 @@
 
 // cost is what a request takes of a pool, in prefill tokens.
 func (b *Board) cost(r *request) float64 {
-	return float64(max(minCost, r.promptTokens()+decodePrice*r.MaxTokens))
+	return float64(max(minCost, r.promptTokens()+decodeCost*r.MaxTokens))
 }
 
 func (b *Board) enqueue(now time.Time, r *request) {
 	p := b.pools[r.Pool]
 	if p.queue.n == 0 {
 		// What was sent before says nothing of how soon there will be room now.
-		p.drained = newMeter(drainWindow)
-		p.drained.at, p.drained.begun = now, now
+		p.throughput = newMeter(throughputWindow)
+		p.throughput.at, p.throughput.begun = now, now
 	}
 	p.queue.push(r, b.weight(r.Org))
 }
@@ -126,27 +126,27 @@
 		seen   int
 	)
 	for _, o := range p.queue.next() {
-		for _, r := range o.items[:min(headTries, len(o.items))] {
+		for _, r := range o.items[:min(headsPerOrg, len(o.items))] {
 			if now.Before(r.notBefore) {
 				continue
 			}
 			if seen++; seen > maxScan {
 				break
 			}
-			r.held = false
+			r.awaitingFill = false
 			c, extra := b.choose(now, p, r)
 			if c == nil {
 				continue
 			}
-			if c, extra = b.settle(now, p, r, c, extra); c == nil {
-				r.held = true
-				r.waitOn(now.Add(lookAgain))
+			if c, extra = b.awaitPendingFill(now, p, r, c, extra); c == nil {
+				r.awaitingFill = true
+				r.extendQueueDeadline(now.Add(fillRecheckInterval))
 				continue
 			}
-			if extra <= tieWidth || b.off.Has(AwaitBest) {
+			if extra <= tieWidth || b.disabled.Has(AwaitBest) {
 				return b.send(now, p, r, c), true
 			}
-			if short := b.spillTime(r, c, extra) - now.Sub(r.arrived); short < least {
+			if short := b.spillDelay(r, c, extra) - now.Sub(r.arrived); short < least {
 				spill, chosen, least = r, *c, short
 			}
 		}
@@ -157,13 +157,13 @@
 	return b.send(now, p, spill, &chosen), true
 }
 
-// spillTime is how long after its arrival a request goes to a target that costs more
+// spillDelay is how long after its arrival a request goes to a target that costs more
 // than its best by extra, at the latest so that its answer can still begin in time.
-func (b *Board) spillTime(r *request, c *candidate, extra time.Duration) time.Duration {
+func (b *Board) spillDelay(r *request, c *candidate, extra time.Duration) time.Duration {
 	if r.Aim == 0 {
 		return min(spillFactor*extra, r.QueueTime/2)
 	}
-	return min(extra, r.Aim-c.first(r))
+	return min(extra, r.Aim-c.timeToFirstToken(r))
 }
 
 // send makes an attempt of a waiting request at the chosen target.
@@ -171,7 +171,7 @@
 	p.queue.remove(r)
 	p.queue.charge(r, b.weight(r.Org))
 	if p.queue.n > 0 {
-		p.drained.add(now, r.cost)
+		p.throughput.add(now, r.cost)
 	}
 	b.countRelease(p, c.target)
 	if r.tries == 0 {
@@ -185,14 +185,14 @@
 	if c.chain != nil {
 		a.Salt = c.chain.salt
 		a.uncached = c.uncached(r)
-		a.fetched = c.fetched > 0 || c.assumed
+		a.fetched = c.fetchTokens > 0 || c.assumed
 		a.Import = c.imported
 		if c.store != nil {
-			c.store.moves.level -= float64(c.fetched - c.trusted)
+			c.store.moves.level -= float64(c.fetchTokens - c.cachedTokens)
 		}
-		a.Save = b.considerSave(now, c, r)
+		a.Save = b.chooseSaveStore(now, c, r)
 		b.countShared(now, r)
-		b.expectFill(now, c)
+		b.recordExpectedFill(now, c)
 		b.beginFill(now, c, r, a)
 	}
 	r.attempt = a
@@ -204,18 +204,18 @@
 	c.target.prefill += a.uncached
 	c.target.tokens += r.size()
 	a.chargeLimit(now)
-	b.note(event.Event{
+	b.emit(event.Event{
 		Code: event.RequestPlaced, Request: r.ID, Attempt: a.ID, Org: r.Org,
 		Target: c.target.name(), Revision: b.snap.Revision, Detail: a.Reason,
 	})
 	return Send{Attempt: a.Attempt}
 }
 
-// expectFill believes at once what the target will have prefilled, so that
+// recordExpectedFill believes at once what the target will have prefilled, so that
 // requests with the same cold prefix follow the first instead of filling another cache.
-func (b *Board) expectFill(now time.Time, c *candidate) {
-	if len(c.chain.bounds) < 2 {
-		b.beliefs.count(c.chain)
+func (b *Board) recordExpectedFill(now time.Time, c *candidate) {
+	if len(c.chain.messageEnds) < 2 {
+		b.prefixes.countRequest(c.chain)
 	}
-	b.beliefs.learn(c.chain, len(c.chain.blocks), c.target.slot, now)
+	b.prefixes.record(c.chain, len(c.chain.blocks), c.target.slot, now)
 }
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -16,31 +16,31 @@
 // FirstToken notes that an attempt's prefill is over, which makes room for the next.
 func (b *Board) FirstToken(now time.Time, requestID, attemptID string) []Action {
 	r, a := b.current(requestID, attemptID)
-	if a == nil || a.first {
+	if a == nil || a.firstToken {
 		return nil
 	}
-	a.first, a.firstAt = true, now
+	a.firstToken, a.firstTokenAt = true, now
 	a.progress = now
 	a.target.answeredAt = now
 	if r.Model != nil {
-		b.pools[r.Pool].firsts.add(now.Sub(a.sent), a.target.leastFirst(r))
+		b.pools[r.Pool].firstTokens.add(now.Sub(a.sent), a.target.minFirstToken(r))
 	}
 	b.learnRate(a.target, a.uncached, now.Sub(a.sent), a.fetched)
 	b.endFill(a)
 	a.target.prefill -= a.uncached
 	b.recovered(a.target)
 	if a.Salt != "" {
-		b.tellFill(now, r, a)
+		b.recordFills(now, r, a)
 		return append(b.offerExport(now, r, a), b.dispatch(now)...)
 	}
 	return b.dispatch(now)
 }
 
-// tellFill keeps the ends of the prompt's messages for the peers.
-func (b *Board) tellFill(now time.Time, r *request, a *attempt) {
+// recordFills keeps the ends of the prompt's messages for the peers.
+func (b *Board) recordFills(now time.Time, r *request, a *attempt) {
 	c := r.chain(a.Weights)
-	for i, n := range c.bounds {
-		if i < len(c.bounds)-1 && a.uncached > 0 {
+	for i, n := range c.messageEnds {
+		if i < len(c.messageEnds)-1 && a.uncached > 0 {
 			b.fills = append(b.fills, Fill{Target: Mark{a.Target, a.Incarnation}, Block: c.blocks[n], at: now})
 		}
 	}
@@ -76,7 +76,7 @@
 	if a == nil {
 		return nil
 	}
-	b.release(now, r, a)
+	b.detachAttempt(now, r, a)
 	if o.Delivered {
 		r.delivered = true
 		r.weights = a.Weights
@@ -93,19 +93,19 @@
 			b.bore(now, r, a)
 		}
 		b.judgeRelease(now, r, a, o.TargetError)
-		b.observe(now, r, a, o.Usage)
+		b.learnFromUsage(now, r, a, o.Usage)
 		b.refund(now, r, o.Usage)
-		b.forget(r)
-		b.note(event.Event{Code: event.RequestAnswered, Request: r.ID, Attempt: a.ID, Org: r.Org, Target: a.target.name(), Detail: usageText(o.Usage)})
+		b.removeRequest(r)
+		b.emit(event.Event{Code: event.RequestAnswered, Request: r.ID, Attempt: a.ID, Org: r.Org, Target: a.target.name(), Detail: usageText(o.Usage)})
 		return append([]Action{Finish{Request: r.ID}}, b.dispatch(now)...)
 	}
 	if o.Kind == OutcomeBroken {
 		b.judgeRelease(now, r, a, true)
 	}
 	b.brokeOff(now, r, a, o)
-	b.blame(now, a, o)
+	b.recordFailure(now, a, o)
 	r.verdict = max(r.verdict, b.verdictOf(r, o.Kind))
-	return append(b.again(now, r, a, o), b.dispatch(now)...)
+	return append(b.retryOrRefuse(now, r, a, o), b.dispatch(now)...)
 }
 
 func usageText(u *Usage) string {
@@ -115,13 +115,13 @@
 	return fmt.Sprintf("%d of %d prompt tokens cached, %d generated", u.Cached, u.Prompt, u.Completion)
 }
 
-// release takes an attempt off its target.
-func (b *Board) release(now time.Time, r *request, a *attempt) {
+// detachAttempt takes an attempt off its target.
+func (b *Board) detachAttempt(now time.Time, r *request, a *attempt) {
 	t := a.target
 	delete(t.attempts, a.ID)
 	b.endFill(a)
 	t.tokens -= r.size()
-	if !a.first {
+	if !a.firstToken {
 		t.prefill -= a.uncached
 	}
 	held := now.Sub(a.sent)
@@ -129,8 +129,8 @@
 	r.attempt = nil
 }
 
-// observe corrects beliefs by the engine's own count of cached tokens.
-func (b *Board) observe(now time.Time, r *request, a *attempt, u *Usage) {
+// learnFromUsage corrects beliefs by the engine's own count of cached tokens.
+func (b *Board) learnFromUsage(now time.Time, r *request, a *attempt, u *Usage) {
 	b.recovered(a.target)
 	if u == nil || a.Salt == "" || a.Resume {
 		return
@@ -163,8 +163,8 @@
 	panic("route: unknown outcome")
 }
 
-// blame counts a failure against the target and drops what was believed of it.
-func (b *Board) blame(now time.Time, a *attempt, o Outcome) {
+// recordFailure counts a failure against the target and drops what was believed of it.
+func (b *Board) recordFailure(now time.Time, a *attempt, o Outcome) {
 	code := event.AttemptBroken
 	if o.Kind == OutcomeRefused || o.Kind == OutcomeUnsent {
 		code = event.AttemptRefused
@@ -173,7 +173,7 @@
 	if r, ok := b.requests[o.Request]; ok && o.Kind == OutcomeBroken && r.Print.Known() {
 		detail += fmt.Sprintf("; incarnation %s, fingerprint %s", a.Incarnation, r.Print)
 	}
-	b.note(event.Event{Code: code, Request: o.Request, Attempt: o.Attempt, Target: a.target.name(), Detail: detail})
+	b.emit(event.Event{Code: code, Request: o.Request, Attempt: o.Attempt, Target: a.target.name(), Detail: detail})
 	if o.Incarnation != "" && !o.Incarnation.Same(a.target.incarnation) {
 		b.identify(now, a.target, o.Incarnation)
 		a.target.stranger = b.reused
@@ -186,7 +186,7 @@
 	}
 	a.target.misses.add(now, 1)
 	if r, ok := b.requests[o.Request]; ok && a.Salt != "" {
-		b.beliefs.unlearn(r.chain(a.Weights), a.target.slot)
+		b.prefixes.forget(r.chain(a.Weights), a.target.slot)
 	}
 	if o.Kind != OutcomeRefused && !a.cancelled && !o.TargetError {
 		b.failed(a.target)
@@ -196,8 +196,8 @@
 	}
 }
 
-// again sends a failed request once more, or refuses it where that is not allowed.
-func (b *Board) again(now time.Time, r *request, a *attempt, o Outcome) []Action {
+// retryOrRefuse sends a failed request once more, or refuses it where that is not allowed.
+func (b *Board) retryOrRefuse(now time.Time, r *request, a *attempt, o Outcome) []Action {
 	r.tried[a.Target] = true
 	switch {
 	case !r.Repeatable && r.verdict != NotRun:
@@ -208,7 +208,7 @@
 		return b.refuse(now, r, CauseCrashes, b.heldRefusal(now, r).Detail)
 	case !now.Before(r.Deadline):
 		return b.refuse(now, r, CauseDeadline, "the request's time is over")
-	case r.sends(o) >= r.triesAllowed() || b.off.Has(Retrying):
+	case r.countedTries(o) >= r.maxAllowedTries() || b.disabled.Has(Retrying):
 		return b.refuse(now, r, CauseRetries, "tried too often; "+o.Detail)
 	case !b.freeRetry(o) && !b.spendRetry(now, &b.pools[r.Pool].retries):
 		return b.refuse(now, r, CauseRetries, "the pool's retry budget is used up; "+o.Detail)
@@ -217,16 +217,16 @@
 	if r.delivered {
 		code = event.RequestResumed
 	}
-	b.note(event.Event{Code: code, Request: r.ID, Attempt: a.ID, Org: r.Org})
+	b.emit(event.Event{Code: code, Request: r.ID, Attempt: a.ID, Org: r.Org})
 	r.notBefore = now.Add(b.backoff(r))
-	r.queuedTo = b.queuedAgain(now, r)
+	r.queueDeadline = b.retryQueueDeadline(now, r)
 	b.enqueue(now, r)
 	return nil
 }
 
-// sends counts the targets that the request was sent to. With a bound of its own,
+// countedTries counts the targets that the request was sent to. With a bound of its own,
 // an attempt of which no byte left is none, up to the board's bound on tries.
-func (r *request) sends(o Outcome) int {
+func (r *request) countedTries(o Outcome) int {
 	if o.Kind == OutcomeUnsent {
 		r.unsent++
 	}
@@ -236,8 +236,8 @@
 	return r.tries - r.unsent
 }
 
-// triesAllowed is how many targets the request may be sent to.
-func (r *request) triesAllowed() int {
+// maxAllowedTries is how many targets the request may be sent to.
+func (r *request) maxAllowedTries() int {
 	if r.MaxTries > 0 {
 		return r.MaxTries
 	}
@@ -259,16 +259,16 @@
 	if r.index >= 0 {
 		b.pools[r.Pool].queue.remove(r)
 	}
-	b.uncharge(now, r)
+	b.refundUnrun(now, r)
 	if r.attempt != nil {
-		b.release(now, r, r.attempt)
+		b.detachAttempt(now, r, r.attempt)
 	}
-	b.forget(r)
+	b.removeRequest(r)
 	code := event.RequestRefused
 	if r.delivered {
 		code = event.AnswerUnfinished
 	}
-	b.note(event.Event{Code: code, Request: r.ID, Org: r.Org, Detail: cause.String() + ", " + r.verdict.String() + ": " + detail})
+	b.emit(event.Event{Code: code, Request: r.ID, Org: r.Org, Detail: cause.String() + ", " + r.verdict.String() + ": " + detail})
 	return []Action{Refuse{Request: r.ID, Refusal: Refusal{
 		Cause: cause, Verdict: r.verdict, RetryAfter: b.retryAfter(now, r), Detail: detail,
 	}}}
@@ -283,40 +283,40 @@
 	if !ok {
 		return b.minRetryAfter
 	}
-	return max(b.minRetryAfter, b.restOver(now, p), p.queue.wait(r.Org, b.weight(r.Org), p.drained.rate(now)))
+	return max(b.minRetryAfter, b.restOver(now, p), p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now)))
 }
 
-// uncharge gives back the charge of a request that ends without having run anywhere.
-func (b *Board) uncharge(now time.Time, r *request) {
+// refundUnrun gives back the charge of a request that ends without having run anywhere.
+func (b *Board) refundUnrun(now time.Time, r *request) {
 	if r.verdict == NotRun && r.attempt == nil && !r.delivered {
 		b.GiveBack(now, r.Charge)
 	}
 }
 
-// forget takes a request off the board and gives its place in the limits back.
-func (b *Board) forget(r *request) {
+// removeRequest takes a request off the board and gives its place in the limits back.
+func (b *Board) removeRequest(r *request) {
 	delete(b.requests, r.ID)
 	if o, ok := b.orgs[r.Org]; ok && o.inFlight > 0 {
 		o.inFlight--
 	}
 }
 
-// Gone takes the news that a caller left.
-func (b *Board) Gone(now time.Time, requestID string) []Action {
+// CallerGone takes the news that a caller left.
+func (b *Board) CallerGone(now time.Time, requestID string) []Action {
 	r, ok := b.requests[requestID]
 	if !ok {
 		return nil
 	}
 	var out []Action
-	b.uncharge(now, r)
+	b.refundUnrun(now, r)
 	if r.index >= 0 {
 		b.pools[r.Pool].queue.remove(r)
 	}
 	if a := r.attempt; a != nil {
-		b.release(now, r, a)
+		b.detachAttempt(now, r, a)
 		out = append(out, Cancel{Request: r.ID, Attempt: a.ID})
 	}
-	b.forget(r)
-	b.note(event.Event{Code: event.CallerGone, Request: r.ID, Org: r.Org})
+	b.removeRequest(r)
+	b.emit(event.Event{Code: event.CallerGone, Request: r.ID, Org: r.Org})
 	return append(out, b.dispatch(now)...)
 }
--- a/route/belief.go
+++ b/route/belief.go
@@ -16,15 +16,15 @@
 // prefix so hot that it spreads over a third of today's ten engines.
 const holdersPerBlock = 4
 
-// belief is what is known of one block.
-type belief struct {
+// blockEntry is what is known of one block.
+type blockEntry struct {
 	holders [holdersPerBlock]holder
 	// seen counts the requests whose prompt had the block.
 	seen uint32
 }
 
-// put notes a holder; the one not heard of for longest makes room.
-func (e *belief) put(slot uint32, at int64) {
+// addHolder notes a holder; the one not heard of for longest makes room.
+func (e *blockEntry) addHolder(slot uint32, at int64) {
 	oldest := 0
 	for i := range e.holders {
 		h := &e.holders[i]
@@ -39,8 +39,8 @@
 	e.holders[oldest] = holder{slot: slot, at: at}
 }
 
-// drop forgets a holder.
-func (e *belief) drop(slot uint32) {
+// removeHolder forgets a holder.
+func (e *blockEntry) removeHolder(slot uint32) {
 	for i := range e.holders {
 		if e.holders[i].slot == slot {
 			e.holders[i] = holder{}
@@ -48,39 +48,39 @@
 	}
 }
 
-// generations is a bounded map that forgets entries unused for a whole generation.
-type generations[K comparable, V any] struct {
-	size  int
-	young map[K]*V
-	old   map[K]*V
+// generationalMap is a bounded map that forgets entries unused for a whole generation.
+type generationalMap[K comparable, V any] struct {
+	size   int
+	recent map[K]*V
+	old    map[K]*V
 }
 
-func newGenerations[K comparable, V any](size int) *generations[K, V] {
-	return &generations[K, V]{size: size, young: make(map[K]*V), old: make(map[K]*V)}
+func newGenerationalMap[K comparable, V any](size int) *generationalMap[K, V] {
+	return &generationalMap[K, V]{size: size, recent: make(map[K]*V), old: make(map[K]*V)}
 }
 
 // get returns an entry, or nil if there is none.
-func (g *generations[K, V]) get(k K) *V {
-	if v, ok := g.young[k]; ok {
+func (g *generationalMap[K, V]) get(k K) *V {
+	if v, ok := g.recent[k]; ok {
 		return v
 	}
 	return g.old[k]
 }
 
-// use returns an entry, made if there is none, and keeps it for another generation.
-func (g *generations[K, V]) use(k K) *V {
-	if v, ok := g.young[k]; ok {
+// getOrCreate returns an entry, made if there is none, and keeps it for another generation.
+func (g *generationalMap[K, V]) getOrCreate(k K) *V {
+	if v, ok := g.recent[k]; ok {
 		return v
 	}
-	if len(g.young) >= g.size {
-		g.old = g.young
-		g.young = make(map[K]*V, g.size)
+	if len(g.recent) >= g.size {
+		g.old = g.recent
+		g.recent = make(map[K]*V, g.size)
 	}
 	v, ok := g.old[k]
 	if !ok {
 		v = new(V)
 	}
-	g.young[k] = v
+	g.recent[k] = v
 	return v
 }
 
@@ -93,9 +93,9 @@
 	sparseEvery  = 16
 )
 
-// noted reports whether beliefs are kept for the chain's i-th block. The ends of
+// tracked reports whether beliefs are kept for the chain's i-th block. The ends of
 // messages are kept besides.
-func noted(i int) bool {
+func tracked(i int) bool {
 	switch {
 	case i < denseBlocks:
 		return true
@@ -105,41 +105,41 @@
 	return i%sparseEvery == sparseEvery-1
 }
 
-// beliefs is what the router thinks the targets' caches hold.
-type beliefs struct {
-	blocks *generations[Block, belief]
+// prefixIndex is what the router thinks the targets' caches hold.
+type prefixIndex struct {
+	blocks *generationalMap[Block, blockEntry]
 }
 
-// beliefEntries bounds the entries of one generation, some 64 bytes each.
-const beliefEntries = 1 << 16
+// maxIndexEntries bounds the entries of one generation, some 64 bytes each.
+const maxIndexEntries = 1 << 16
 
-func newBeliefs() *beliefs {
-	return &beliefs{blocks: newGenerations[Block, belief](beliefEntries)}
+func newPrefixIndex() *prefixIndex {
+	return &prefixIndex{blocks: newGenerationalMap[Block, blockEntry](maxIndexEntries)}
 }
 
-// learn notes that a target holds the first n blocks of a chain.
-func (b *beliefs) learn(c *chain, n int, slot uint32, at time.Time) {
+// record notes that a target holds the first n blocks of a chain.
+func (b *prefixIndex) record(c *chain, n int, slot uint32, at time.Time) {
 	ms := at.UnixMilli()
-	for _, i := range c.levels {
+	for _, i := range c.trackedBlocks {
 		if i >= n {
 			return
 		}
-		b.blocks.use(c.blocks[i]).put(slot, ms)
+		b.blocks.getOrCreate(c.blocks[i]).addHolder(slot, ms)
 	}
 }
 
-// unlearn forgets that a target holds any block of a chain.
-func (b *beliefs) unlearn(c *chain, slot uint32) {
-	for _, i := range c.levels {
+// forget forgets that a target holds any block of a chain.
+func (b *prefixIndex) forget(c *chain, slot uint32) {
+	for _, i := range c.trackedBlocks {
 		if e := b.blocks.get(c.blocks[i]); e != nil {
-			e.drop(slot)
+			e.removeHolder(slot)
 		}
 	}
 }
 
-// count notes that a request had the chain, for the choice of an anchor.
-func (b *beliefs) count(c *chain) {
-	for _, i := range c.levels {
+// countRequest notes that a request had the chain, for the choice of an anchor.
+func (b *prefixIndex) countRequest(c *chain) {
+	for _, i := range c.trackedBlocks {
 		e := b.blocks.get(c.blocks[i])
 		if e == nil {
 			return
@@ -151,8 +151,8 @@
 // deepest returns the position in the chain's levels of the deepest known block,
 // or -1. Known blocks are nearly always a leading run, so it is searched by
 // halves; message ends beyond the run are tried too, since peers tell of those alone.
-func (b *beliefs) deepest(c *chain) int {
-	lo, hi := -1, len(c.levels)
+func (b *prefixIndex) deepest(c *chain) int {
+	lo, hi := -1, len(c.trackedBlocks)
 	for lo+1 < hi {
 		mid := (lo + hi) / 2
 		if b.known(c, mid) {
@@ -161,8 +161,8 @@
 			hi = mid
 		}
 	}
-	for i := len(c.bounds) - 1; i >= 0; i-- {
-		at, ok := slices.BinarySearch(c.levels, c.bounds[i])
+	for i := len(c.messageEnds) - 1; i >= 0; i-- {
+		at, ok := slices.BinarySearch(c.trackedBlocks, c.messageEnds[i])
 		if !ok || at <= lo {
 			break
 		}
@@ -173,19 +173,19 @@
 	return lo
 }
 
-func (b *beliefs) known(c *chain, level int) bool {
-	return b.blocks.get(c.blocks[c.levels[level]]) != nil
+func (b *prefixIndex) known(c *chain, level int) bool {
+	return b.blocks.get(c.blocks[c.trackedBlocks[level]]) != nil
 }
 
-// anchor returns the block whose hash orders the targets: the end of the last
+// affinityBlock returns the block whose hash orders the targets: the end of the last
 // message but one, where the prompt has messages, so that all routers agree
 // without talking; else the deepest block that two requests shared.
-func (b *beliefs) anchor(c *chain) Block {
-	if n := len(c.bounds); n >= 2 && c.bounds[n-2] < len(c.blocks) {
-		return c.blocks[c.bounds[n-2]]
+func (b *prefixIndex) affinityBlock(c *chain) Block {
+	if n := len(c.messageEnds); n >= 2 && c.messageEnds[n-2] < len(c.blocks) {
+		return c.blocks[c.messageEnds[n-2]]
 	}
 	best := Block(0)
-	for _, i := range c.levels {
+	for _, i := range c.trackedBlocks {
 		e := b.blocks.get(c.blocks[i])
 		if e == nil || e.seen < 2 {
 			break
@@ -233,9 +233,9 @@
 	}
 }
 
-// believeFill notes what a peer told that a target's cache got.
-func (b *Board) believeFill(now time.Time, t *target, f Fill) {
-	b.beliefs.blocks.use(f.Block).put(t.slot, now.Add(-f.Age).UnixMilli())
+// recordFill notes what a peer told that a target's cache got.
+func (b *Board) recordFill(now time.Time, t *target, f Fill) {
+	b.prefixes.blocks.getOrCreate(f.Block).addHolder(t.slot, now.Add(-f.Age).UnixMilli())
 }
 
 // CacheChange is one cache event of an engine.
@@ -259,13 +259,13 @@
 			continue
 		}
 		after = c.Seq
-		e := b.beliefs.blocks.get(c.Block)
+		e := b.prefixes.blocks.get(c.Block)
 		switch {
 		case e == nil:
 		case c.Evicted:
-			e.drop(t.slot)
+			e.removeHolder(t.slot)
 		default:
-			e.put(t.slot, now.UnixMilli())
+			e.addHolder(t.slot, now.UnixMilli())
 		}
 	}
 	return after
--- a/route/board.go
+++ b/route/board.go
@@ -14,9 +14,9 @@
 // Board is the blackboard of one router. Its methods are not safe for
 // concurrent use; the shell calls them under one lock.
 type Board struct {
-	rng   *rand.Rand
-	place Placer
-	notes func(event.Event)
+	rng     *rand.Rand
+	place   Placer
+	onEvent func(event.Event)
 
 	snap     *policy.Snapshot
 	targets  map[netip.AddrPort]*target
@@ -26,17 +26,17 @@
 	pools    map[string]*pool
 	orgs     map[string]*orgState
 	requests map[string]*request
-	beliefs  *beliefs
+	prefixes *prefixIndex
 	// partHolders finds targets by the parts that their events say they hold.
 	partHolders partIndex
 	shared      sharedParts
 	hot         hotParts
 	// firstParts measures how often prompts begin with a part.
-	firstParts *generations[Block, meter]
+	firstParts *generationalMap[Block, meter]
 	fills      []Fill
 	// kept are the prefixes that are hot or in a kept KV store, newlyKept those to
 	// tell peers of, exporting the exports under way.
-	kept      *generations[Block, keptPrefix]
+	kept      *generationalMap[Block, keptPrefix]
 	newlyKept []Kept
 	exporting int
 	routers   int
@@ -44,31 +44,31 @@
 	begun time.Time
 	// crowd is how many routers may have spent retries lately, rounding the part of
 	// one retry that this router's part of the reserve is rounded up by.
-	crowd    crowd
-	rounding float64
-	// alone says that the settings name no other router, inSettings how many they name.
-	alone      bool
-	inSettings int
-	// unknownSize says that they name only some of the others.
-	unknownSize bool
-	// counted is how many other routers told at toldAt what of limits they use.
-	counted int
-	toldAt  time.Time
+	recentRouters   windowedMax
+	reserveRounding float64
+	// alone says that the settings name no other router, configuredRouters how many they name.
+	soleRouter        bool
+	configuredRouters int
+	// partialPeerList says that they name only some of the others.
+	partialPeerList bool
+	// counted is how many other routers told at limitsReportedAt what of limits they use.
+	limitReporters   int
+	limitsReportedAt time.Time
 	// sharers is how many routers may use limits.
-	sharers   crowd
-	peers     map[string]PeerState
-	closed    *Refusal
-	round     uint64
-	scratch   []candidate
-	staleness *Staleness
+	limitSharers windowedMax
+	peers        map[string]PeerState
+	closed       *Refusal
+	round        uint64
+	scratch      []candidate
+	staleness    *Staleness
 	// named is what is known of each model's newest weights, now and before.
 	named map[string]spans
 	// placed hears at once of requests that take a target long.
-	placed func(Placed)
+	onPlaced func(PlacementReport)
 	// filling are the blocks that targets read now.
-	filling map[fillKey]fill
+	pendingFills map[fillKey]pendingFill
 	// off are the mechanisms that an experiment switched off.
-	off Mechanisms
+	disabled Mechanisms
 	// restsTo is until when some target wants no requests.
 	restsTo time.Time
 	// unlisted are the words of targets that left the list, which hold if they are back.
@@ -85,9 +85,9 @@
 	exposure  float64
 	// zone is where this router runs, empty if it is of no account.
 	zone string
-	// ownRoom is the prefill that this router may have waiting at one engine; zero
+	// maxPendingPrefill is the prefill that this router may have waiting at one engine; zero
 	// means an even part of what all routers may.
-	ownRoom time.Duration
+	maxPendingPrefill time.Duration
 	// reused says that an address may become another pool's.
 	reused bool
 	// minRetryAfter is the least time a caller is told to stay away.
@@ -103,14 +103,14 @@
 	members  []*target
 	queue    *fairQueue
 	// drained measures the cost sent while requests wait, which is the pool's capacity.
-	drained meter
+	throughput meter
 	// offered measures the requests that arrive.
-	offered meter
+	arrivals meter
 	// learned is the rate of prefill seen at its members, in tokens per second; zero before the first.
 	learned float64
 	// firsts measures how long answers take to begin.
-	firsts  firstTimes
-	retries retryBudget
+	firstTokens firstTokenStats
+	retries     retryBudget
 	// releases are those of its targets that were seen, newest the last one seen, which gets
 	// no requests until newestFrom.
 	releases   map[string]bool
@@ -131,9 +131,9 @@
 	return func(b *Board) { b.place = p }
 }
 
-// WithNotes sets the function that gets the board's events.
-func WithNotes(f func(event.Event)) Option {
-	return func(b *Board) { b.notes = f }
+// WithEventHandler sets the function that gets the board's events.
+func WithEventHandler(f func(event.Event)) Option {
+	return func(b *Board) { b.onEvent = f }
 }
 
 // WithZone sets the failure domain that this router runs in; services in it are preferred.
@@ -147,16 +147,16 @@
 	return func(b *Board) { b.routers = max(1, n) }
 }
 
-// WithUnknownSize says that the settings name only some of the routers, so that one which has
+// WithPartialPeerList says that the settings name only some of the routers, so that one which has
 // met no other cannot tell how many share what is bounded for all.
-func WithUnknownSize() Option {
-	return func(b *Board) { b.unknownSize = true }
+func WithPartialPeerList() Option {
+	return func(b *Board) { b.partialPeerList = true }
 }
 
-// WithOwnRoom sets the prefill that this router may have waiting at one engine,
+// WithMaxPendingPrefill sets the prefill that this router may have waiting at one engine,
 // where callers are spread too unevenly over routers for an even part to do.
-func WithOwnRoom(d time.Duration) Option {
-	return func(b *Board) { b.ownRoom = d }
+func WithMaxPendingPrefill(d time.Duration) Option {
+	return func(b *Board) { b.maxPendingPrefill = d }
 }
 
 // WithReusedAddresses says that an address may become another pool's: one at which an
@@ -167,8 +167,8 @@
 
 // WithPlaced sets the function that hears at once of each request that takes its
 // target long; it must not block.
-func WithPlaced(f func(Placed)) Option {
-	return func(b *Board) { b.placed = f }
+func WithPlaced(f func(PlacementReport)) Option {
+	return func(b *Board) { b.onPlaced = f }
 }
 
 // WithMinRetryAfter sets the least time a caller is told to stay away.
@@ -181,45 +181,45 @@
 	b := &Board{
 		rng:      rand.New(rand.NewPCG(1, 1)),
 		place:    Predict,
-		notes:    func(event.Event) {},
+		onEvent:  func(event.Event) {},
 		targets:  make(map[netip.AddrPort]*target),
 		slots:    make(map[uint32]*target),
 		marks:    make(map[Mark]bool),
 		pools:    make(map[string]*pool),
 		orgs:     make(map[string]*orgState),
 		requests: make(map[string]*request),
-		beliefs:  newBeliefs(),
-
-		partHolders: make(partIndex),
-		shared:      newSharedParts(),
-		hot:         newHotParts(),
-		firstParts:  newGenerations[Block, meter](homeKept),
-		kept:        newGenerations[Block, keptPrefix](keptEntries),
-		routers:     1,
-		crowd:       crowd{most: 1},
-		sharers:     crowd{most: 1},
-		peers:       make(map[string]PeerState),
-		serving:     make(map[serversKey]*serversList),
-		named:       make(map[string]spans),
+		prefixes: newPrefixIndex(),
+
+		partHolders:   make(partIndex),
+		shared:        newSharedParts(),
+		hot:           newHotParts(),
+		firstParts:    newGenerationalMap[Block, meter](maxFirstParts),
+		kept:          newGenerationalMap[Block, keptPrefix](maxKeptPrefixes),
+		routers:       1,
+		recentRouters: windowedMax{value: 1},
+		limitSharers:  windowedMax{value: 1},
+		peers:         make(map[string]PeerState),
+		serving:       make(map[serversKey]*serversList),
+		named:         make(map[string]spans),
 
 		minRetryAfter: defaultMinRetryAfter,
-		placed:        func(Placed) {},
+		onPlaced:      func(PlacementReport) {},
 		crashes:       newCrashes(),
 		reserve:       noReserve{},
 		rollouts:      make(map[string]*rollout),
 		exposure:      defaultExposure * exposurePart,
-		filling:       make(map[fillKey]fill),
+		pendingFills:  make(map[fillKey]pendingFill),
 		unlisted:      make(map[netip.AddrPort]unlistedWords),
 	}
 	for _, opt := range opts {
 		opt(b)
 	}
-	b.rounding = b.rng.Float64()
-	b.alone, b.inSettings = b.routers == 1, b.routers
+	b.reserveRounding = b.rng.Float64()
+	b.soleRouter, b.configuredRouters = b.routers == 1, b.routers
 	return b
 }
 
-func (b *Board) note(e event.Event) { b.notes(e) }
+func (b *Board) emit(e event.Event) { b.onEvent(e) }
 
 // Adopt puts a configuration in force; one of a lower revision than the present is ignored.
 func (b *Board) Adopt(now time.Time, snap *policy.Snapshot) []Action {
@@ -246,8 +246,8 @@
 	for _, cp := range b.snap.Pools() {
 		p, ok := b.pools[cp.Name]
 		if !ok {
-			p = &pool{queue: newFairQueue(), drained: newMeter(drainWindow), offered: newMeter(demandWindow), retries: newRetryBudget(now), releases: make(map[string]bool)}
-			p.drained.at, p.offered.at = now, now
+			p = &pool{queue: newFairQueue(), throughput: newMeter(throughputWindow), arrivals: newMeter(demandWindow), retries: newRetryBudget(now), releases: make(map[string]bool)}
+			p.throughput.at, p.arrivals.at = now, now
 			b.pools[cp.Name] = p
 		}
 		p.compiled = cp
@@ -327,7 +327,7 @@
 		switch {
 		case !now.Before(r.Deadline):
 			out = append(out, b.expire(now, r)...)
-		case r.attempt == nil && !now.Before(r.queuedTo):
+		case r.attempt == nil && !now.Before(r.queueDeadline):
 			out = append(out, b.refuse(now, r, CauseOverload, b.pools[r.Pool].noRoom(now))...)
 		}
 	}
--- a/route/board_test.go
+++ b/route/board_test.go
@@ -20,7 +20,7 @@
 		number := func(label string, most int) int { return rapid.IntRange(0, most).Draw(rt, label) }
 		target := func() *fakeTarget { return w.targets[number("target", len(w.targets)-1)] }
 		checkSend := func(from int) {
-			for _, a := range w.flying[min(from, len(w.flying)):] {
+			for _, a := range w.inFlight[min(from, len(w.inFlight)):] {
 				if err := w.checkSend(a); err != nil {
 					rt.Fatal(err)
 				}
@@ -28,28 +28,28 @@
 		}
 		step := func(f func()) func(*rapid.T) {
 			return func(*rapid.T) {
-				before := len(w.flying)
+				before := len(w.inFlight)
 				f()
 				checkSend(before)
 			}
 		}
 		attempt := func() (Attempt, bool) {
-			if len(w.flying) == 0 {
+			if len(w.inFlight) == 0 {
 				return Attempt{}, false
 			}
-			return w.pop(number("attempt", len(w.flying)-1)), true
+			return w.takeInFlight(number("attempt", len(w.inFlight)-1)), true
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"ask engine": step(func() {
 				org := rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "org")
-				w.ask(org, strings.Repeat("p", 300*number("length", 5)), false, true)
+				w.request(org, strings.Repeat("p", 300*number("length", 5)), false, true)
 			}),
-			"ask service": step(func() { w.ask("b", "", true, rapid.Bool().Draw(rt, "repeatable")) }),
+			"ask service": step(func() { w.request("b", "", true, rapid.Bool().Draw(rt, "repeatable")) }),
 			"first token": func(*rapid.T) {
-				if len(w.flying) > 0 {
-					a := w.flying[number("attempt", len(w.flying)-1)]
-					before := len(w.flying)
-					w.take(w.board.FirstToken(w.now, a.Request, a.ID))
+				if len(w.inFlight) > 0 {
+					a := w.inFlight[number("attempt", len(w.inFlight)-1)]
+					before := len(w.inFlight)
+					w.execute(w.board.FirstToken(w.now, a.Request, a.ID))
 					w.board.Progress(w.now, a.Request, a.ID)
 					checkSend(before)
 				}
@@ -83,14 +83,14 @@
 				if len(w.stale) > 0 {
 					a := w.stale[number("stale", len(w.stale)-1)]
 					kind := OutcomeKind(number("kind", int(OutcomeDone)))
-					w.take(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: kind}))
-					w.take(w.board.FirstToken(w.now, a.Request, a.ID))
+					w.execute(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: kind}))
+					w.execute(w.board.FirstToken(w.now, a.Request, a.ID))
 				}
 			}),
 			"caller gone": step(func() {
 				if w.nextID > 0 {
 					id := fmt.Sprintf("r%d", 1+number("request", w.nextID-1))
-					w.take(w.board.Gone(w.now, id))
+					w.execute(w.board.CallerGone(w.now, id))
 				}
 			}),
 			"restart": func(*rapid.T) {
@@ -104,13 +104,13 @@
 				target().weights = rapid.SampledFrom([]string{"w1", "w2", ""}).Draw(rt, "weights")
 			},
 			"report": step(func() { w.report(target()) }),
-			"list":   step(func() { w.list() }),
+			"list":   step(func() { w.reportList() }),
 			"poll fails": step(func() {
-				w.take(w.board.Unreachable(w.now, target().addr))
+				w.execute(w.board.Unreachable(w.now, target().addr))
 			}),
 			"pass": step(func() {
 				w.now = w.now.Add(time.Duration(number("ms", 3000)) * time.Millisecond)
-				w.take(w.board.Tick(w.now))
+				w.execute(w.board.Tick(w.now))
 			}),
 			"": func(rt *rapid.T) {
 				if err := w.check(); err != nil {
@@ -118,14 +118,14 @@
 				}
 			},
 		})
-		w.settle(rt)
+		w.drain(rt)
 	})
 }
 
 // checkSend is the oracle of one sending: not to an incarnation that the board
 // was told is leaving, and with the salt of its own organisation and weights.
 func (w *world) checkSend(a Attempt) error {
-	if w.told[string(a.Incarnation)] {
+	if w.announcedLeaving[string(a.Incarnation)] {
 		return fmt.Errorf("attempt %s went to %s, which is leaving", a.ID, a.Incarnation)
 	}
 	if w.target(a.Target).listed {
@@ -141,13 +141,13 @@
 	return nil
 }
 
-// settle lets everything end and checks that nothing is left over.
-func (w *world) settle(t require.TestingT) {
-	for i := 0; len(w.flying) > 0 && i < 1000; i++ {
-		w.end(w.pop(0), OutcomeDone, true, true)
+// drain lets everything end and checks that nothing is left over.
+func (w *world) drain(t require.TestingT) {
+	for i := 0; len(w.inFlight) > 0 && i < 1000; i++ {
+		w.end(w.takeInFlight(0), OutcomeDone, true, true)
 	}
 	w.now = w.now.Add(time.Minute)
-	w.take(w.board.Tick(w.now))
+	w.execute(w.board.Tick(w.now))
 	require.NoError(t, w.check())
 	require.Zero(t, w.board.Requests(), "no request is left")
 	for id := range w.asked {
@@ -188,13 +188,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1, 3, testSetup{trust: c.trust})
-			id := w.ask("b", "", true, c.repeatable)
+			id := w.request("b", "", true, c.repeatable)
 			for _, k := range c.outcomes {
-				for len(w.flying) == 0 {
+				for len(w.inFlight) == 0 {
 					w.now = w.now.Add(100 * time.Millisecond)
-					w.take(w.board.Tick(w.now))
+					w.execute(w.board.Tick(w.now))
 				}
-				w.end(w.pop(0), k, k == OutcomeDone, false)
+				w.end(w.takeInFlight(0), k, k == OutcomeDone, false)
 			}
 			require.Len(t, w.ends[id], 1)
 			require.Equal(t, c.sends, w.sends[id])
@@ -223,11 +223,11 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 2, 0, testSetup{})
 			m, _, _ := w.snap.Model("m")
-			w.take(w.board.Arrive(w.now, Request{
+			w.execute(w.board.Arrive(w.now, Request{
 				ID: "r", Revision: 1, Org: "b", Pool: "e", Deadline: w.now.Add(time.Minute), QueueTime: time.Minute,
 				Repeatable: true, Resumable: c.resumable, Model: m, Text: []byte("x"), MaxTokens: 4,
 			}))
-			first := w.pop(0)
+			first := w.takeInFlight(0)
 			w.board.FirstToken(w.now, "r", first.ID)
 			w.board.Progress(w.now, "r", first.ID)
 			for _, f := range w.targets {
@@ -243,61 +243,61 @@
 			if c.refused {
 				return
 			}
-			require.Equal(t, !c.queued, len(w.flying) == 1, "an answer goes on only under the weights it began with")
+			require.Equal(t, !c.queued, len(w.inFlight) == 1, "an answer goes on only under the weights it began with")
 			if !c.queued {
-				require.True(t, w.flying[0].Resume)
+				require.True(t, w.inFlight[0].Resume)
 			}
 		})
 	}
 }
 
-func TestBoardRestartForgetsBeliefs(t *testing.T) {
+func TestBoardRestartDropsCacheEntries(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{})
 	text := strings.Repeat("x", 4000)
-	w.ask("b", text, false, true)
-	first := w.pop(0)
+	w.request("b", text, false, true)
+	first := w.takeInFlight(0)
 	w.board.FirstToken(w.now, first.Request, first.ID)
 	w.end(first, OutcomeDone, true, true)
 
-	w.ask("b", text, false, true)
-	second := w.pop(0)
+	w.request("b", text, false, true)
+	second := w.takeInFlight(0)
 	require.Equal(t, first.Target, second.Target, "the prefix is where it was")
 	require.NotContains(t, second.Reason, " 0 of ")
 	w.end(second, OutcomeDone, true, true)
 
 	w.target(first.Target).incarnation++
 	w.report(w.target(first.Target))
-	w.ask("b", text, false, true)
-	require.Contains(t, w.flying[0].Reason, " 0 of 1000 prompt tokens believed cached")
+	w.request("b", text, false, true)
+	require.Contains(t, w.inFlight[0].Reason, " 0 of 1000 prompt tokens believed cached")
 }
 
-func TestBoardColdHerdFollowsFirst(t *testing.T) {
+func TestBoardColdRequestsFollowFirst(t *testing.T) {
 	w := newWorld(t, 3, 0, testSetup{window: 16})
 	text := strings.Repeat("y", 8000)
 	for range 6 {
-		w.ask("b", text, false, true)
+		w.request("b", text, false, true)
 	}
-	require.Len(t, w.flying, 1, "the first fills a cache, the others wait for it")
+	require.Len(t, w.inFlight, 1, "the first fills a cache, the others wait for it")
 	for i := range 6 {
-		require.Equal(t, w.flying[0].Target, w.flying[i].Target, "and follow it to the same engine")
+		require.Equal(t, w.inFlight[0].Target, w.inFlight[i].Target, "and follow it to the same engine")
 		w.now = w.now.Add(300 * time.Millisecond)
-		w.take(w.board.FirstToken(w.now, w.flying[i].Request, w.flying[i].ID))
+		w.execute(w.board.FirstToken(w.now, w.inFlight[i].Request, w.inFlight[i].ID))
 	}
-	require.Len(t, w.flying, 6)
+	require.Len(t, w.inFlight, 6)
 }
 
 func TestBoardHotPrefixSpreads(t *testing.T) {
 	w := newWorld(t, 3, 0, testSetup{window: 2})
 	text := strings.Repeat("y", 2000)
 	for range 6 {
-		w.ask("b", text, false, true)
+		w.request("b", text, false, true)
 	}
-	w.take(w.board.FirstToken(w.now, w.flying[0].Request, w.flying[0].ID))
-	require.Len(t, w.flying, 2, "the holder is full and the others wait for it")
+	w.execute(w.board.FirstToken(w.now, w.inFlight[0].Request, w.inFlight[0].ID))
+	require.Len(t, w.inFlight, 2, "the holder is full and the others wait for it")
 	w.now = w.now.Add(9 * time.Second)
-	w.take(w.board.Tick(w.now))
+	w.execute(w.board.Tick(w.now))
 	targets := make(map[string]bool)
-	for _, a := range w.flying {
+	for _, a := range w.inFlight {
 		targets[string(a.Incarnation)] = true
 	}
 	require.Len(t, targets, 3, "until they have waited for longer than another engine costs")
@@ -306,22 +306,22 @@
 func TestBoardLeavingMarkFromPeer(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{})
 	leaving := w.targets[0]
-	w.take(w.board.Peers(w.now, map[string]PeerState{
+	w.execute(w.board.Peers(w.now, map[string]PeerState{
 		"other": {Leaving: []Mark{{Target: leaving.addr, Incarnation: Incarnation(leaving.id())}}},
 	}, 2))
 	for range 4 {
-		w.ask("b", "z", false, true)
+		w.request("b", "z", false, true)
 	}
-	for _, a := range w.flying {
+	for _, a := range w.inFlight {
 		require.NotEqual(t, leaving.addr, a.Target)
 	}
-	w.list()
+	w.reportList()
 	require.Len(t, w.board.Marks(), 1, "the list that still shows it does not undo the mark")
-	require.True(t, w.hasNote(event.TargetLeaving))
+	require.True(t, w.hasEvent(event.TargetLeaving))
 }
 
-func (w *world) hasNote(c event.Code) bool {
-	for _, e := range w.notes {
+func (w *world) hasEvent(c event.Code) bool {
+	for _, e := range w.events {
 		if e.Code == c {
 			return true
 		}
@@ -329,7 +329,7 @@
 	return false
 }
 
-func TestBoardListMeansWhichIncarnation(t *testing.T) {
+func TestBoardListIncarnation(t *testing.T) {
 	cases := map[string]struct {
 		reportAfterMark bool
 		leaving         bool
@@ -343,24 +343,24 @@
 			f := w.targets[0]
 			w.now = w.now.Add(time.Second)
 			f.listLeaving = true
-			w.list()
+			w.reportList()
 			w.now = w.now.Add(time.Second)
 			if c.reportAfterMark {
 				w.report(f)
 			}
 			f.incarnation++
 			f.listLeaving = false
-			w.list()
+			w.reportList()
 			w.report(f)
-			w.ask("b", "x", false, true)
-			require.Equal(t, c.leaving, len(w.flying) == 0)
+			w.request("b", "x", false, true)
+			require.Equal(t, c.leaving, len(w.inFlight) == 0)
 		})
 	}
 }
 
 func TestBoardRefusesWhatWasCheckedUnderAnotherRevision(t *testing.T) {
 	w := newWorld(t, 1, 0, testSetup{})
-	w.take(w.board.Arrive(w.now, Request{ID: "r", Revision: 7, Org: "b", Pool: "e"}))
+	w.execute(w.board.Arrive(w.now, Request{ID: "r", Revision: 7, Org: "b", Pool: "e"}))
 	refuse := w.ends["r"][0].(Refuse)
 	require.Equal(t, CauseChanged, refuse.Refusal.Cause)
 	require.Equal(t, NotRun, refuse.Refusal.Verdict)
@@ -369,18 +369,18 @@
 func TestBoardQueueMovesWhenTargetLeaves(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{window: 1})
 	for range 4 {
-		w.ask("b", "z", false, true)
+		w.request("b", "z", false, true)
 	}
-	require.Len(t, w.flying, 2)
+	require.Len(t, w.inFlight, 2)
 	w.targets[0].leaving = true
 	w.report(w.targets[0])
-	before := len(w.flying)
-	for len(w.flying) > 0 {
-		w.end(w.pop(0), OutcomeDone, true, true)
+	before := len(w.inFlight)
+	for len(w.inFlight) > 0 {
+		w.end(w.takeInFlight(0), OutcomeDone, true, true)
 		if before--; before < 0 {
 			before = 0
 		}
-		for _, a := range w.flying[before:] {
+		for _, a := range w.inFlight[before:] {
 			require.Equal(t, w.targets[1].addr, a.Target, "queued requests go to the one that stays")
 		}
 	}
--- a/route/come_back_test.go
+++ b/route/come_back_test.go
@@ -10,7 +10,7 @@
 // Nothing counts from the time to come back that a caller was told: a router that was
 // started anew works the next one out of what waits there now, and takes a caller that
 // comes back before or after it as any other.
-func TestComeBackOverRestart(t *testing.T) {
+func TestRetryAfterAcrossRestart(t *testing.T) {
 	w := newWorld(t, 0, 1, testSetup{})
 	ask := func(b *Board, id string) []Action {
 		return b.Arrive(w.now, Request{
--- a/route/crash.go
+++ b/route/crash.go
@@ -120,7 +120,7 @@
 	// facts are told to the other processes.
 	facts *Feed[CrashKey, end]
 	// answered are requests that were answered lately.
-	answered *generations[Fingerprint, time.Time]
+	answered *generationalMap[Fingerprint, time.Time]
 	// seen is called when this process saw something that the others do not know yet.
 	seen func()
 	// swept is when old facts were last forgotten.
@@ -135,7 +135,7 @@
 		suspects:      make(map[Fingerprint]*suspect),
 		broken:        make(map[netip.AddrPort][]brokenRun),
 		facts:         newCrashFacts(),
-		answered:      newGenerations[Fingerprint, time.Time](answeredKept),
+		answered:      newGenerationalMap[Fingerprint, time.Time](answeredKept),
 		seen:          func() {},
 	}
 }
@@ -191,12 +191,12 @@
 	if o.Kind != OutcomeBroken || !o.Closed && !o.Silent || a.cancelled || !r.Print.Known() || a.target.leaving || a.target.listLeaving {
 		return
 	}
-	if a.first && now.Sub(a.firstAt) >= bearsAfter {
+	if a.firstToken && now.Sub(a.firstTokenAt) >= bearsAfter {
 		return
 	}
 	mark := Mark{a.Target, a.Incarnation}
 	c := &b.crashes
-	c.broken[a.Target] = append(c.broken[a.Target], brokenRun{print: r.Print, mark: mark, org: r.Org, pool: r.Pool, end: end{at: now, begun: a.first}})
+	c.broken[a.Target] = append(c.broken[a.Target], brokenRun{print: r.Print, mark: mark, org: r.Org, pool: r.Pool, end: end{at: now, begun: a.firstToken}})
 	if !a.target.incarnation.Same(a.Incarnation) {
 		// Another start has been seen there since.
 		b.startEnded(now, mark)
@@ -239,7 +239,7 @@
 	if fell == 0 {
 		return
 	}
-	b.note(event.Event{
+	b.emit(event.Event{
 		Code: event.TargetEnded, Target: m.Target.String(),
 		Detail: fmt.Sprintf("incarnation %s, under %d requests of this process", m.Incarnation, fell),
 	})
@@ -368,7 +368,7 @@
 func (b *Board) noteReleased(now time.Time, f Fingerprint, s *suspect, why string) {
 	if s.noted && !b.crashes.holds(now, f) {
 		s.noted = false
-		b.note(event.Event{Code: event.RequestReleased, Org: s.org, Detail: "fingerprint " + f.String() + ": " + why})
+		b.emit(event.Event{Code: event.RequestReleased, Org: s.org, Detail: "fingerprint " + f.String() + ": " + why})
 	}
 }
 
@@ -378,7 +378,7 @@
 	if !r.Print.Known() {
 		return
 	}
-	*c.answered.use(r.Print) = now
+	*c.answered.getOrCreate(r.Print) = now
 	if c.suspects[r.Print] != nil {
 		b.cleared(now, r.Print, now)
 		c.facts.Set(CrashKey{Print: r.Print}, end{at: now})
@@ -417,7 +417,7 @@
 	for f, s := range c.suspects {
 		if until, held := c.heldUntil(now, f); held && !s.noted {
 			s.noted = true
-			b.note(event.Event{Code: event.RequestHeld, Org: s.org, Detail: fmt.Sprintf(
+			b.emit(event.Event{Code: event.RequestHeld, Org: s.org, Detail: fmt.Sprintf(
 				"fingerprint %s, service %s, for %s: %s ended under it", f, s.pool, until.Sub(now).Round(time.Second), strings.Join(s.names(), ", "))})
 		}
 	}
--- a/route/crash_test.go
+++ b/route/crash_test.go
@@ -24,13 +24,13 @@
 func (w *world) arrive(t *testing.T, f Fingerprint) (a Attempt, sent bool) {
 	w.nextID++
 	id := fmt.Sprint("c", w.nextID)
-	w.take(w.board.Arrive(w.now, Request{
+	w.execute(w.board.Arrive(w.now, Request{
 		ID: id, Revision: w.board.Revision(), Org: "b", Pool: "s", Deadline: w.now.Add(10 * time.Minute),
 		QueueTime: 10 * time.Minute, Repeatable: true, MaxTries: 1, Print: f, Streams: true,
 	}))
-	for i, a := range w.flying {
+	for i, a := range w.inFlight {
 		if a.Request == id {
-			return w.pop(i), true
+			return w.takeInFlight(i), true
 		}
 	}
 	return a, false
@@ -38,8 +38,8 @@
 
 // crash ends the target of an attempt, and starts it again.
 func (w *world) crash(a Attempt) {
-	w.take(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Closed: true}))
-	w.take(w.board.TargetEnded(w.now, a.Target))
+	w.execute(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Closed: true}))
+	w.execute(w.board.TargetEnded(w.now, a.Target))
 	w.again(a.Target)
 }
 
@@ -50,7 +50,7 @@
 			f.incarnation++
 		}
 	}
-	w.list()
+	w.reportList()
 	for _, f := range w.targets {
 		w.report(f)
 	}
@@ -78,10 +78,10 @@
 			return r.Refusal, true
 		}
 	}
-	w.take(w.board.Gone(w.now, id))
-	for i, a := range w.flying {
+	w.execute(w.board.CallerGone(w.now, id))
+	for i, a := range w.inFlight {
 		if a.Request == id {
-			w.pop(i)
+			w.takeInFlight(i)
 			break
 		}
 	}
@@ -101,7 +101,7 @@
 	require.True(t, held)
 	require.Equal(t, NotRun, refusal.Verdict)
 	require.InDelta(t, 2*time.Minute, refusal.RetryAfter, float64(time.Second))
-	require.True(t, w.hasNote(event.RequestHeld))
+	require.True(t, w.hasEvent(event.RequestHeld))
 	_, held = w.held(t, other)
 	require.False(t, held, "the same text of another organisation")
 
@@ -109,7 +109,7 @@
 	w.board.Tick(w.now)
 	_, held = w.held(t, guiltyPrint)
 	require.False(t, held)
-	require.True(t, w.hasNote(event.RequestReleased))
+	require.True(t, w.hasEvent(event.RequestReleased))
 	w.crashes(t, guiltyPrint, 1)
 	refusal, held = w.held(t, guiltyPrint)
 	require.True(t, held)
@@ -230,10 +230,10 @@
 	w.crashes(t, guiltyPrint, 3)
 	_, held := w.held(t, guiltyPrint)
 	require.True(t, held)
-	w.take(w.board.Ended(w.now, Outcome{Request: under.Request, Attempt: under.ID, Kind: OutcomeDone}))
+	w.execute(w.board.Ended(w.now, Outcome{Request: under.Request, Attempt: under.ID, Kind: OutcomeDone}))
 	_, held = w.held(t, guiltyPrint)
 	require.False(t, held)
-	require.True(t, w.hasNote(event.RequestReleased))
+	require.True(t, w.hasEvent(event.RequestReleased))
 
 	other := NewBoard()
 	other.Adopt(w.now, w.snap)
@@ -261,7 +261,7 @@
 func TestCrashAnsweredBefore(t *testing.T) {
 	w := crashWorldOf(t, 3)
 	a, _ := w.arrive(t, guiltyPrint)
-	w.take(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeDone}))
+	w.execute(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeDone}))
 	w.crashes(t, guiltyPrint, 1)
 	require.Empty(t, w.board.HeldRequests(w.now))
 	words, _ := w.board.CrashesSince(w.now, 0)
--- a/route/distance_test.go
+++ b/route/distance_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// zoned puts the engines of a board into failure domains.
-func (p *partsBoard) zoned(zones ...string) {
+// setZones puts the engines of a board into failure domains.
+func (p *partsBoard) setZones(zones ...string) {
 	for i, zone := range zones {
 		p.b.targets[testAddr(i)].labels = map[string]string{"s": "e", LabelZone: zone}
 	}
@@ -21,13 +21,13 @@
 	for i := range 8 {
 		f := newFillBoard(t, 4)
 		WithZone("near")(f.b)
-		f.zoned("far", "far", "near", "far")
+		f.setZones("far", "far", "near", "far")
 		r := f.request("a", Part{fmt.Sprint("p", i), 500})
 		r.Bytes = 10_000
-		require.Equal(t, testAddr(2), f.ask(r).Target, "whatever the order of the engines for the prompt")
+		require.Equal(t, testAddr(2), f.place(r).Target, "whatever the order of the engines for the prompt")
 		next := f.request("a", Part{"next", 500})
 		next.Bytes = 10_000
-		require.NotEqual(t, testAddr(2), f.ask(next).Target, "10 ms of reading are more than 5 ms of bytes")
+		require.NotEqual(t, testAddr(2), f.place(next).Target, "10 ms of reading are more than 5 ms of bytes")
 	}
 }
 
@@ -35,10 +35,10 @@
 // where one there holds as much, and is predicted to take twice as long from another.
 func TestDistanceFetches(t *testing.T) {
 	f := newFillBoard(t, 3)
-	f.zoned("x", "y", "x")
+	f.setZones("x", "y", "x")
 	c := newPartsChain("salt", append(shared, own))
 	holds := func(i int) candidate {
-		return candidate{target: f.b.targets[testAddr(i)], chain: c, trusted: 6000, ready: 6000}
+		return candidate{target: f.b.targets[testAddr(i)], chain: c, cachedTokens: 6000, readyTokens: 6000}
 	}
 	p, r := f.b.pools["e"], &request{Request: f.request("a", append(shared, own)...)}
 	cold := candidate{target: f.b.targets[testAddr(0)], chain: c}
--- a/route/feed.go
+++ b/route/feed.go
@@ -12,7 +12,7 @@
 	changed map[K]int64
 	log     []feedEntry[K]
 	// forgotten is the version up to which changes are not remembered.
-	forgotten int64
+	compactedTo int64
 }
 
 type feedEntry[K comparable] struct {
@@ -27,9 +27,9 @@
 	Gone  bool
 }
 
-// feedKept is the number of changes that a feed remembers: some seconds of what
+// maxFeedLog is the number of changes that a feed remembers: some seconds of what
 // the caches of a large fleet's engines tell.
-const feedKept = 8192
+const maxFeedLog = 8192
 
 // NewFeed returns an empty feed; equal reports whether a new value is no change.
 func NewFeed[K comparable, V any](equal func(a, b V) bool) *Feed[K, V] {
@@ -45,14 +45,14 @@
 		return
 	}
 	f.values[k] = v
-	f.note(k)
+	f.recordChange(k)
 }
 
 // Drop takes a key out.
 func (f *Feed[K, V]) Drop(k K) {
 	if _, ok := f.values[k]; ok {
 		delete(f.values, k)
-		f.note(k)
+		f.recordChange(k)
 	}
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	f.version++
-	f.forgotten = f.version
+	f.compactedTo = f.version
 	f.values, f.changed, f.log = make(map[K]V), make(map[K]int64), nil
 }
 
@@ -81,11 +81,11 @@
 	return out
 }
 
-func (f *Feed[K, V]) note(k K) {
+func (f *Feed[K, V]) recordChange(k K) {
 	f.version++
 	f.changed[k] = f.version
 	f.log = append(f.log, feedEntry[K]{f.version, k})
-	if len(f.log) > feedKept {
+	if len(f.log) > maxFeedLog {
 		f.compact()
 	}
 }
@@ -93,7 +93,7 @@
 // compact forgets the older half of the changes.
 func (f *Feed[K, V]) compact() {
 	cut := len(f.log) / 2
-	f.forgotten = f.log[cut-1].version
+	f.compactedTo = f.log[cut-1].version
 	for _, e := range f.log[:cut] {
 		if _, ok := f.values[e.key]; !ok && f.changed[e.key] == e.version {
 			delete(f.changed, e.key)
@@ -105,15 +105,15 @@
 // Len returns the number of keys that have a value.
 func (f *Feed[K, V]) Len() int { return len(f.values) }
 
-// Remembers reports whether all changes after a version are known.
-func (f *Feed[K, V]) Remembers(after int64) bool {
-	return after > 0 && after >= f.forgotten && after <= f.version
+// Covers reports whether all changes after a version are known.
+func (f *Feed[K, V]) Covers(after int64) bool {
+	return after > 0 && after >= f.compactedTo && after <= f.version
 }
 
 // Since returns what changed after a version. If full is true, the changes are all
 // values there are, and what is not among them is gone.
 func (f *Feed[K, V]) Since(after int64) (changes []Change[K, V], full bool) {
-	if !f.Remembers(after) {
+	if !f.Covers(after) {
 		for k, v := range f.values {
 			changes = append(changes, Change[K, V]{Key: k, Value: v})
 		}
--- a/route/feed_test.go
+++ b/route/feed_test.go
@@ -47,14 +47,14 @@
 
 func TestFeedIsBounded(t *testing.T) {
 	f := NewFeed[int](func(a, b int) bool { return a == b })
-	for i := range 10 * feedKept {
+	for i := range 10 * maxFeedLog {
 		f.Set(i%100, i)
 		f.Drop(100 + i)
 		f.Set(1000+i, 1)
 		f.Drop(1000 + i)
 	}
-	require.LessOrEqual(t, len(f.log), feedKept)
-	require.LessOrEqual(t, len(f.changed), feedKept+100)
+	require.LessOrEqual(t, len(f.log), maxFeedLog)
+	require.LessOrEqual(t, len(f.changed), maxFeedLog+100)
 	_, full := f.Since(1)
 	require.True(t, full)
 }
--- a/route/fetch.go
+++ b/route/fetch.go
@@ -6,39 +6,39 @@
 
 // The bounds of fetching cached parts from another target: how many tokens it
 // must save, and what it takes besides the transfer, which is the engines' set-up
-// time of 3 to 5 ms on the users' sites. displacePart is the part of the fetched
+// time of 3 to 5 ms on the users' sites. assumedEvictedFraction is the part of the fetched
 // tokens that a copy is taken to displace and that will be wanted again, at an
 // engine of which nothing better is known.
 const (
-	fetchLeast   = 48
-	fetchSetup   = 5 * time.Millisecond
-	displacePart = 1.5
+	minFetchTokens         = 48
+	fetchSetup             = 5 * time.Millisecond
+	assumedEvictedFraction = 1.5
 )
 
-// displaceCost is what a token costs that is wanted again and was displaced, in
+// evictedTokenCost is what a token costs that is wanted again and was displaced, in
 // times that an engine takes to read it: the reading, and the wait of others.
-const displaceCost = 2
+const evictedTokenCost = 2
 
-// displaces is what a request costs by displacing what the engine holds. All that
+// evictionCost is what a request costs by displacing what the engine holds. All that
 // it brings there takes room: what it reads, fetches and makes. The more of the
 // engine's memory has parts that no other engine holds, the more of that is
 // missed. So prompts with a long part of their own run where little is kept and
 // fetch what they share, and what many share stays where it is kept.
-func (b *Board) displaces(now time.Time, c *candidate, p *pool, r *request) time.Duration {
-	if b.off.Has(Displacing) {
+func (b *Board) evictionCost(now time.Time, c *candidate, p *pool, r *request) time.Duration {
+	if b.disabled.Has(Displacing) {
 		return 0
 	}
 	if !c.target.parts.known(now) || p.compiled.CacheTokens == 0 {
-		return seconds(displacePart * float64(max(0, c.fetched-c.trusted)) / c.target.rate() / b.uses(r, p))
+		return seconds(assumedEvictedFraction * float64(max(0, c.fetchTokens-c.cachedTokens)) / c.target.rate() / b.expectedUses(r, p))
 	}
-	brought := float64(r.size() - c.trusted)
-	missed := min(1, float64(c.target.parts.only)/float64(p.compiled.CacheTokens))
-	return seconds(displaceCost * missed * brought / c.target.rate())
+	brought := float64(r.size() - c.cachedTokens)
+	missed := min(1, float64(c.target.parts.soleTokens)/float64(p.compiled.CacheTokens))
+	return seconds(evictedTokenCost * missed * brought / c.target.rate())
 }
 
 // considerFetches lets candidates fetch what the best holder has beyond their own.
 func (b *Board) considerFetches(now time.Time, cs []candidate, p *pool, r *request) {
-	if !p.compiled.Fetches || len(cs) == 0 || b.off.Has(Fetching) {
+	if !p.compiled.Fetches || len(cs) == 0 || b.disabled.Has(Fetching) {
 		return
 	}
 	stores := b.directStores(now, r.Model)
@@ -48,56 +48,56 @@
 	for i := range cs {
 		c := &cs[i]
 		for j := range cs {
-			if o := &cs[j]; c.gains(o) {
-				c.fetchFrom, c.fetched, c.unread = o.target.addr, o.trusted, o.unread
-				c.far = !c.target.near(o.target)
+			if o := &cs[j]; c.betterSource(o) {
+				c.fetchFrom, c.fetchTokens, c.pending = o.target.addr, o.cachedTokens, o.pending
+				c.crossZone = !c.target.sameZone(o.target)
 			}
 		}
 		for _, store := range stores {
 			b.considerStore(now, c, store, p)
 		}
-		if c.fetched > 0 && c.store == nil {
-			fetched := float64(c.fetched - c.trusted)
-			c.transfer = c.unread.left(now) + fetchSetup + seconds(c.linkTimes()*fetched/max(1, p.compiled.LinkRate))
+		if c.fetchTokens > 0 && c.store == nil {
+			fetched := float64(c.fetchTokens - c.cachedTokens)
+			c.transfer = c.pending.remaining(now) + fetchSetup + seconds(c.linkFactor()*fetched/max(1, p.compiled.LinkRate))
 		}
-		c.extra += b.displaces(now, c, p, r)
+		c.penalty += b.evictionCost(now, c, p, r)
 	}
 }
 
-// gains reports whether fetching from o brings more than what the candidate has or
+// betterSource reports whether fetching from o brings more than what the candidate has or
 // would fetch so far, or as much from its own failure domain.
-func (c *candidate) gains(o *candidate) bool {
+func (c *candidate) betterSource(o *candidate) bool {
 	switch {
-	case o.chain != c.chain || o.trusted < c.trusted+fetchLeast:
+	case o.chain != c.chain || o.cachedTokens < c.cachedTokens+minFetchTokens:
 		return false
-	case o.trusted >= c.fetched+fetchLeast:
+	case o.cachedTokens >= c.fetchTokens+minFetchTokens:
 		return true
 	}
-	return c.far && o.trusted == c.fetched && o.unread == c.unread && c.target.near(o.target)
+	return c.crossZone && o.cachedTokens == c.fetchTokens && o.pending == c.pending && c.target.sameZone(o.target)
 }
 
-// farLink is how many times longer a copy takes between failure domains.
-const farLink = 2
+// crossZoneLinkFactor is how many times longer a copy takes between failure domains.
+const crossZoneLinkFactor = 2
 
-// linkTimes is how many times longer the candidate's copy takes than the link's rate says.
-func (c *candidate) linkTimes() float64 {
-	if c.far {
-		return farLink
+// linkFactor is how many times longer the candidate's copy takes than the link's rate says.
+func (c *candidate) linkFactor() float64 {
+	if c.crossZone {
+		return crossZoneLinkFactor
 	}
 	return 1
 }
 
-// near reports whether two targets stand in the same failure domain.
-func (t *target) near(o *target) bool { return t.labels[LabelZone] == o.labels[LabelZone] }
+// sameZone reports whether two targets stand in the same failure domain.
+func (t *target) sameZone(o *target) bool { return t.labels[LabelZone] == o.labels[LabelZone] }
 
-// uses is how often a copy of a request's shared parts will be used at one engine
+// expectedUses is how often a copy of a request's shared parts will be used at one engine
 // while it counts as wanted: what a copy displaces is paid for by all its uses.
-func (b *Board) uses(r *request, p *pool) float64 {
+func (b *Board) expectedUses(r *request, p *pool) float64 {
 	if r.homes.rate < hotRate {
 		return 1
 	}
 	horizon := time.Duration(b.snap.Config.Placement.Horizon).Seconds()
-	return max(1, r.homes.rate*horizon/float64(min(r.homes.engines, b.size(p))))
+	return max(1, r.homes.rate*horizon/float64(min(r.homes.spread, b.size(p))))
 }
 
 // assumeHolders stands in for events where there are more routers than an engine
@@ -110,7 +110,7 @@
 	first := make(map[*chain]*candidate, 2)
 	for i := range cs {
 		c := &cs[i]
-		if best := first[c.chain]; len(c.chain.keys) > 1 && (best == nil || c.rank > best.rank) {
+		if best := first[c.chain]; len(c.chain.partKeys) > 1 && (best == nil || c.rank > best.rank) {
 			first[c.chain] = c
 		}
 	}
@@ -119,25 +119,25 @@
 			continue
 		}
 		best.assumed = true
-		best.trusted = max(best.trusted, best.chain.tokens[len(best.chain.tokens)-2])
+		best.cachedTokens = max(best.cachedTokens, best.chain.tokens[len(best.chain.tokens)-2])
 	}
 }
 
-// storePart is the part of the store's link that its moves may take: one that
+// storeLinkFraction is the part of the store's link that its moves may take: one that
 // waits behind others costs more than what it brings.
-const storePart = 0.7
+const storeLinkFraction = 0.7
 
 // considerStore lets a candidate fetch from the store what no engine holds, while
 // the store's link has room.
 func (b *Board) considerStore(now time.Time, c *candidate, store *target, p *pool) {
-	held := store.parts.leading(c.chain)
-	if held < max(c.trusted, c.fetched)+fetchLeast || !b.storeHasRoom(now, store, p) {
+	held := store.parts.leadingTokens(c.chain)
+	if held < max(c.cachedTokens, c.fetchTokens)+minFetchTokens || !b.storeHasRoom(now, store, p) {
 		return
 	}
-	c.store, c.fetchFrom, c.fetched, c.unread = store, store.addr, held, fill{}
-	c.far = !c.target.near(store)
-	moved := float64(held - c.trusted)
-	c.transfer = fetchSetup + seconds(c.linkTimes()*moved/b.storeRate(p))
+	c.store, c.fetchFrom, c.fetchTokens, c.pending = store, store.addr, held, pendingFill{}
+	c.crossZone = !c.target.sameZone(store)
+	moved := float64(held - c.cachedTokens)
+	c.transfer = fetchSetup + seconds(c.linkFactor()*moved/b.storeRate(p))
 }
 
 // storeRate is the rate of the link of each store that a pool's engines use, in tokens per second.
@@ -145,7 +145,7 @@
 
 // storeHasRoom reports whether this router's part of a store's link has room.
 func (b *Board) storeHasRoom(now time.Time, store *target, p *pool) bool {
-	rate := storePart * b.storeRate(p) / float64(b.routers)
+	rate := storeLinkFraction * b.storeRate(p) / float64(b.routers)
 	store.moves.refillTo(now, rate, rate)
 	return store.moves.level > 0
 }
--- a/route/health.go
+++ b/route/health.go
@@ -18,7 +18,7 @@
 // than there were is counted, so that a single failure among few is no verdict.
 func (b *Board) missCost(now time.Time, t *target) time.Duration {
 	t.misses.decay(now)
-	if t.misses.value < 0.1 || b.off.Has(FailurePrice) {
+	if t.misses.value < 0.1 || b.disabled.Has(FailurePrice) {
 		return 0
 	}
 	t.sends.decay(now)
@@ -53,7 +53,7 @@
 	}
 	b.version++
 	t.failing = true
-	b.note(event.Event{Code: event.TargetFailing, Target: t.name(), Detail: why})
+	b.emit(event.Event{Code: event.TargetFailing, Target: t.name(), Detail: why})
 }
 
 // Unreachable takes the failure of a poll.
@@ -74,7 +74,7 @@
 	}
 	b.version++
 	t.failing = true
-	b.note(event.Event{Code: event.TargetFailing, Target: t.name()})
+	b.emit(event.Event{Code: event.TargetFailing, Target: t.name()})
 }
 
 func (b *Board) recovered(t *target) {
@@ -84,7 +84,7 @@
 	}
 	b.version++
 	t.failing = false
-	b.note(event.Event{Code: event.TargetHealthy, Target: t.name()})
+	b.emit(event.Event{Code: event.TargetHealthy, Target: t.name()})
 }
 
 // stallTime is how long an attempt at a failing target may show no progress.
--- a/route/homes.go
+++ b/route/homes.go
@@ -14,27 +14,27 @@
 // last shared part orders the engines of that set. So a first part is held by a
 // few engines only, also where what follows it is seldom asked for twice.
 type homes struct {
-	first uint64
-	last  uint64
+	setHash   uint64
+	orderHash uint64
 	// part is the last shared part itself, before it is spread.
-	part uint64
+	lastPartHash uint64
 	// size is how many engines the first part's set has; it is 0 for a prompt
 	// without shared parts, which has no homes.
-	size float64
+	setSize float64
 	// rate is how often all routers together get requests with this last shared
 	// part, engines over how many engines it is spread for that.
-	rate    float64
-	engines int
+	rate   float64
+	spread int
 }
 
 // The size of a first part's set: how many requests a second one engine is to get
 // of it, which leaves an engine's time to several sets, and the least number of
 // engines, so that one may be lost or busy. The rate is measured over homeWindow.
 const (
-	homeRate   = 1.5
-	homeLeast  = 3
-	homeWindow = 10 * time.Second
-	homeKept   = 1 << 14
+	requestsPerHome = 1.5
+	minHomeEngines  = 3
+	homeWindow      = 10 * time.Second
+	maxFirstParts   = 1 << 14
 )
 
 // rankOutside is how far the rank of an engine outside of a first part's set is
@@ -47,26 +47,26 @@
 		return
 	}
 	seed := xxh3.HashString(r.Salt("").String())
-	r.homes.first = xxh3.HashStringSeed(r.Parts[0].ID, seed)
-	r.homes.part = r.partHome()
-	r.homes.last = r.homes.part
-	r.homes.rate = b.hot.count(now, Block(r.homes.last))
-	r.homes.engines = spread(r.homes.rate, b.pools[r.Pool].leastFirst(r))
-	if b.off.Has(Spreading) {
-		r.homes.engines = 1
+	r.homes.setHash = xxh3.HashStringSeed(r.Parts[0].ID, seed)
+	r.homes.lastPartHash = r.lastPartHash()
+	r.homes.orderHash = r.homes.lastPartHash
+	r.homes.rate = b.hot.count(now, Block(r.homes.orderHash))
+	r.homes.spread = spreadFor(r.homes.rate, b.pools[r.Pool].minFirstToken(r))
+	if b.disabled.Has(Spreading) {
+		r.homes.spread = 1
 	}
-	if n := r.homes.engines; n > 1 {
+	if n := r.homes.spread; n > 1 {
 		// Each of the requests has one of n engines as its home.
-		r.homes.last = mix(r.homes.last + uint64(b.rng.IntN(n)))
+		r.homes.orderHash = mixHash(r.homes.orderHash + uint64(b.rng.IntN(n)))
 	}
-	m := meterOf(b.firstParts, Block(r.homes.first), homeWindow)
+	m := meterOf(b.firstParts, Block(r.homes.setHash), homeWindow)
 	m.add(now, 1)
-	rate := m.level(now) * float64(b.routers)
-	r.homes.size = homeLeast + rate/homeRate
+	rate := m.windowRate(now) * float64(b.routers)
+	r.homes.setSize = minHomeEngines + rate/requestsPerHome
 }
 
-// partHome is a number of the request's last shared part that is the same under all weights.
-func (r *request) partHome() uint64 {
+// lastPartHash is a number of the request's last shared part that is the same under all weights.
+func (r *request) lastPartHash() uint64 {
 	return xxh3.HashStringSeed(r.Parts[len(r.Parts)-2].ID, xxh3.HashString(r.Salt("").String()))
 }
 
@@ -81,18 +81,18 @@
 
 // rank orders an engine of a pool of n for the prompt.
 func (h homes) rank(n int, hash uint64) uint64 {
-	rank := mix(h.last ^ hash)
-	if mix(h.first^hash) < h.limit(n) {
+	rank := mixHash(h.orderHash ^ hash)
+	if mixHash(h.setHash^hash) < h.setThreshold(n) {
 		rank >>= rankOutside
 	}
 	return rank
 }
 
-// limit is the rank for the first part from which an engine of a pool of n is in
+// setThreshold is the rank for the first part from which an engine of a pool of n is in
 // the part's set; all of a small pool are.
-func (h homes) limit(n int) uint64 {
-	if n <= fullScan || h.size >= float64(n) {
+func (h homes) setThreshold(n int) uint64 {
+	if n <= maxFullScan || h.setSize >= float64(n) {
 		return 0
 	}
-	return uint64((1 - h.size/float64(n)) * math.MaxUint64)
+	return uint64((1 - h.setSize/float64(n)) * math.MaxUint64)
 }
--- a/route/identity.go
+++ b/route/identity.go
@@ -45,7 +45,7 @@
 	if ambiguous {
 		b.markLeaving(t, "vm list")
 	}
-	b.note(event.Event{Code: code, Target: t.name(), Detail: "incarnation " + string(incarnation)})
+	b.emit(event.Event{Code: code, Target: t.name(), Detail: "incarnation " + string(incarnation)})
 	if b.marks[Mark{t.addr, incarnation}] {
 		b.markLeaving(t, "a peer")
 	}
@@ -98,7 +98,7 @@
 	}
 	b.version++
 	t.leaving = true
-	b.note(event.Event{Code: event.TargetLeaving, Target: t.name(), Detail: "says " + source})
+	b.emit(event.Event{Code: event.TargetLeaving, Target: t.name(), Detail: "says " + source})
 }
 
 // Leaving takes a mark from a peer or an operator.
--- a/route/incarnation_test.go
+++ b/route/incarnation_test.go
@@ -161,7 +161,7 @@
 // Events of another start than the list names are not taken, whichever of the two is the
 // later, and what was believed to be held is not relied on any more.
 func TestEventsOfAnotherStart(t *testing.T) {
-	p := newPartsBoard(t, 1, WithNotes(func(event.Event) {}))
+	p := newPartsBoard(t, 1, WithEventHandler(func(event.Event) {}))
 	p.startAgain(startedAt(500), "1", false)
 	held := []PartChange{{"salt", "aa", 3000}}
 	tokens := func() int { return len(p.b.targets[testAddr(0)].parts.tokens) }
--- a/route/kept.go
+++ b/route/kept.go
@@ -45,16 +45,16 @@
 // be worth it, how long it must be, how soon it is tried again, how many exports
 // a router makes in a second, and how many prefixes it remembers.
 const (
-	keptRate       = 0.2
-	keptLeast      = 512
-	keptAgain      = 30 * time.Second
-	keptWindow     = 10 * time.Second
-	exportsAtOnce  = 2
-	keptEntries    = 4096
-	importFactor   = 4
-	importOverhead = 5 * time.Millisecond
-	importWindow   = 15 * time.Second
-	maxKeptTold    = 16
+	minExportRate    = 0.2
+	minKeptTokens    = 512
+	exportRetryDelay = 30 * time.Second
+	exportRateWindow = 10 * time.Second
+	exportsAtOnce    = 2
+	maxKeptPrefixes  = 4096
+	importFactor     = 4
+	importOverhead   = 5 * time.Millisecond
+	importWindow     = 15 * time.Second
+	maxKeptReported  = 16
 )
 
 // keptPool returns the pool that keeps a model's KV cache and has a usable target.
@@ -81,7 +81,7 @@
 // parts again on a busy day, with all three 4.9 million (one play of each).
 func (b *Board) directStores(now time.Time, m *policy.Model) []*target {
 	p, ok := b.pools[m.KeptPool]
-	if m.KeptPool == "" || !ok || !p.compiled.Fetches || b.off.Has(KeptStore) {
+	if m.KeptPool == "" || !ok || !p.compiled.Fetches || b.disabled.Has(KeptStore) {
 		return nil
 	}
 	var out []*target
@@ -93,34 +93,34 @@
 	return out
 }
 
-// saveLeast is the number of shared tokens that an engine must read anew for a
+// minSaveTokens is the number of shared tokens that an engine must read anew for a
 // prompt to be worth saving: less is sooner read again than moved.
-const saveLeast = 512
+const minSaveTokens = 512
 
-// considerSave decides whether the engine sends the prompt's parts to the store that is
+// chooseSaveStore decides whether the engine sends the prompt's parts to the store that is
 // their home. All routers together save no more in the time of a part's last use than
 // a store holds: else it would drop each part before it is asked for again.
-func (b *Board) considerSave(now time.Time, c *candidate, r *request) netip.AddrPort {
+func (b *Board) chooseSaveStore(now time.Time, c *candidate, r *request) netip.AddrPort {
 	stores := b.directStores(now, r.Model)
 	if len(stores) == 0 || len(c.chain.tokens) < 2 {
 		return netip.AddrPort{}
 	}
 	shared := c.chain.tokens[len(c.chain.tokens)-2]
-	if shared-max(c.trusted, c.fetched) < saveLeast {
+	if shared-max(c.cachedTokens, c.fetchTokens) < minSaveTokens {
 		return netip.AddrPort{}
 	}
 	home := stores[0]
 	for _, t := range stores {
-		if t.parts.leading(c.chain) >= shared {
+		if t.parts.leadingTokens(c.chain) >= shared {
 			return netip.AddrPort{}
 		}
-		if mix(r.homes.part^t.hash) > mix(r.homes.part^home.hash) {
+		if mixHash(r.homes.lastPartHash^t.hash) > mixHash(r.homes.lastPartHash^home.hash) {
 			home = t
 		}
 	}
 	// What the store has is not sent to it again.
 	p := b.pools[r.Model.KeptPool]
-	held := home.parts.leading(c.chain)
+	held := home.parts.leadingTokens(c.chain)
 	moved, gained := float64(r.promptTokens()-held), float64(shared-held)
 	if !b.storeHasRoom(now, home, b.pools[r.Pool]) || !b.worthSaving(now, home, p, gained/moved) {
 		return netip.AddrPort{}
@@ -147,11 +147,11 @@
 	return store.saves.level > 0 && shared >= 1-store.saves.level/burst
 }
 
-// keptOf returns what is known of a prefix with so many tokens.
-func (b *Board) keptOf(key Block, tokens int) *keptPrefix {
-	k := b.kept.use(key)
+// keptEntry returns what is known of a prefix with so many tokens.
+func (b *Board) keptEntry(key Block, tokens int) *keptPrefix {
+	k := b.kept.getOrCreate(key)
 	if k.tokens == 0 {
-		k.uses = newMeter(keptWindow)
+		k.uses = newMeter(exportRateWindow)
 		k.tokens = tokens
 	}
 	return k
@@ -162,16 +162,16 @@
 func (b *Board) offerExport(now time.Time, r *request, a *attempt) []Action {
 	pool, ok := b.keptPool(r.Model)
 	c := r.chain(a.Weights)
-	if !ok || len(c.bounds) < 2 {
+	if !ok || len(c.messageEnds) < 2 {
 		return nil
 	}
-	end := c.bounds[len(c.bounds)-2]
-	k := b.keptOf(c.blocks[end], c.tokens[end])
+	end := c.messageEnds[len(c.messageEnds)-2]
+	k := b.keptEntry(c.blocks[end], c.tokens[end])
 	k.uses.add(now, 1)
 	switch {
-	case k.stored || k.tokens < keptLeast || k.uses.rate(now) < keptRate:
+	case k.stored || k.tokens < minKeptTokens || k.uses.rate(now) < minExportRate:
 		return nil
-	case now.Sub(k.askedAt) < keptAgain || b.exporting >= exportsAtOnce:
+	case now.Sub(k.askedAt) < exportRetryDelay || b.exporting >= exportsAtOnce:
 		return nil
 	}
 	k.askedAt = now
@@ -188,7 +188,7 @@
 	if k := b.kept.get(e.Key); k != nil && stored {
 		k.stored = true
 		b.newlyKept = append(b.newlyKept, Kept{e.Key, k.tokens})
-		b.newlyKept = b.newlyKept[max(0, len(b.newlyKept)-maxKeptTold):]
+		b.newlyKept = b.newlyKept[max(0, len(b.newlyKept)-maxKeptReported):]
 	}
 }
 
@@ -203,7 +203,7 @@
 func (b *Board) mergeKept(states map[string]PeerState) {
 	for _, s := range states {
 		for _, told := range s.Kept {
-			b.keptOf(told.Key, told.Tokens).stored = true
+			b.keptEntry(told.Key, told.Tokens).stored = true
 		}
 	}
 }
@@ -214,8 +214,8 @@
 	if !ok {
 		return Import{}, false
 	}
-	for i := len(c.bounds) - 1; i >= 0; i-- {
-		key := c.blocks[c.bounds[i]]
+	for i := len(c.messageEnds) - 1; i >= 0; i-- {
+		key := c.blocks[c.messageEnds[i]]
 		if k := b.kept.get(key); k != nil && k.stored {
 			return Import{Pool: pool, Key: key, Tokens: k.tokens}, true
 		}
@@ -236,7 +236,7 @@
 		return
 	}
 	for i := range cs {
-		if cs[i].trusted >= kept.Tokens {
+		if cs[i].cachedTokens >= kept.Tokens {
 			return
 		}
 	}
@@ -250,7 +250,7 @@
 func (c *candidate) considerImport(kept Import) {
 	rate := c.target.rate()
 	transfer := importOverhead + seconds(float64(kept.Tokens)/(importFactor*rate))
-	if transfer < seconds(float64(kept.Tokens-c.trusted)/rate) {
+	if transfer < seconds(float64(kept.Tokens-c.cachedTokens)/rate) {
 		c.imported = kept
 		c.transfer = transfer
 	}
@@ -264,7 +264,7 @@
 	}
 	best := uint64(0)
 	for _, t := range p.members {
-		if rank := mix(uint64(key) ^ t.hash); t.usable() && rank >= best {
+		if rank := mixHash(uint64(key) ^ t.hash); t.usable() && rank >= best {
 			best, addr = rank, t.addr
 		}
 	}
--- a/route/limit.go
+++ b/route/limit.go
@@ -131,17 +131,17 @@
 // together returns how many routers this one shares its account of limits with, itself
 // among them, and how many there may be.
 func (b *Board) together(now time.Time) (known, all int) {
-	return b.togetherWith(now, b.counted, b.toldAt)
+	return b.togetherWith(now, b.limitReporters, b.limitsReportedAt)
 }
 
 // togetherWith is together for an account of which so many other routers told at a time.
 func (b *Board) togetherWith(now time.Time, counted int, toldAt time.Time) (known, all int) {
 	known = 1
-	if now.Sub(toldAt) <= touchTime && !b.off.Has(LimitAccount) {
+	if now.Sub(toldAt) <= touchTime && !b.disabled.Has(LimitAccount) {
 		known += counted
 	}
-	all = max(b.sharers.most, b.routers)
-	if b.unknownSize && !b.alone && known == 1 && all <= b.inSettings && now.Sub(b.begun) < meetOthers {
+	all = max(b.limitSharers.value, b.routers)
+	if b.partialPeerList && !b.soleRouter && known == 1 && all <= b.configuredRouters && now.Sub(b.begun) < meetOthers {
 		all = max(all, unmetRouters)
 	}
 	return min(known, all), all
@@ -209,10 +209,10 @@
 // shareLimits takes what the others told of organisations' use, and divides the bounds on
 // requests in flight by the demand at each router.
 func (b *Board) shareLimits(now time.Time, states map[string]PeerState) {
-	b.counted, b.toldAt = 0, now
+	b.limitReporters, b.limitsReportedAt = 0, now
 	told := make(map[string]Demand)
 	for _, s := range states {
-		b.counted += s.Counted
+		b.limitReporters += s.Counted
 		for _, d := range s.Demands {
 			told[d.Org] = told[d.Org].plus(d)
 		}
--- a/route/limit_charge_test.go
+++ b/route/limit_charge_test.go
@@ -15,20 +15,20 @@
 		costs float64
 	}{
 		"it was not sent": {func(w *world, _ Attempt) {
-			for k := 0; k < maxTries && len(w.flying) > 0; k++ {
-				w.end(w.pop(0), OutcomeUnsent, false, false)
+			for k := 0; k < maxTries && len(w.inFlight) > 0; k++ {
+				w.end(w.takeInFlight(0), OutcomeUnsent, false, false)
 				w.now = w.now.Add(time.Second)
-				w.take(w.board.Tick(w.now))
+				w.execute(w.board.Tick(w.now))
 			}
 		}, 0},
-		"its caller left while it ran": {func(w *world, a Attempt) { w.take(w.board.Gone(w.now, a.Request)) }, 1},
-		"it ran":                       {func(w *world, _ Attempt) { w.end(w.pop(0), OutcomeDone, true, true) }, 1},
+		"its caller left while it ran": {func(w *world, a Attempt) { w.execute(w.board.CallerGone(w.now, a.Request)) }, 1},
+		"it ran":                       {func(w *world, _ Attempt) { w.end(w.takeInFlight(0), OutcomeDone, true, true) }, 1},
 		"it broke, was sent again and ran": {func(w *world, _ Attempt) {
-			w.end(w.pop(0), OutcomeBroken, false, false)
+			w.end(w.takeInFlight(0), OutcomeBroken, false, false)
 			w.now = w.now.Add(time.Second)
-			w.take(w.board.Tick(w.now))
-			if len(w.flying) > 0 {
-				w.end(w.pop(0), OutcomeDone, true, true)
+			w.execute(w.board.Tick(w.now))
+			if len(w.inFlight) > 0 {
+				w.end(w.takeInFlight(0), OutcomeDone, true, true)
 			}
 		}, 1},
 	}
@@ -37,12 +37,12 @@
 			w := newWorld(t, 2, 0, testSetup{rate: 1, window: 4})
 			w.now = w.now.Add(time.Hour)
 			w.board.orgState("a").requests.refill(w.now, grant{rate: 1, burst: 1, whole: true, alone: true})
-			w.ask("a", "x", false, true)
-			require.NotEmpty(t, w.flying)
+			w.request("a", "x", false, true)
+			require.NotEmpty(t, w.inFlight)
 			before := w.board.orgs["a"].requests.level
 			require.InDelta(t, 0, before, 1e-9, "the charge is taken at once")
 			begun := w.now
-			c.end(w, w.flying[0])
+			c.end(w, w.inFlight[0])
 			// What came in meanwhile is no part of it.
 			came := w.now.Sub(begun).Seconds()
 			g := grant{rate: 1, burst: 1e9, whole: true, alone: true}
--- a/route/limit_fleet_test.go
+++ b/route/limit_fleet_test.go
@@ -100,7 +100,7 @@
 
 // start starts a router, which knows by its settings that there are three or more.
 func (f *limitFleet) start(i int) {
-	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.side))), WithUnknownSize()}, f.opts...)...)
+	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.side))), WithPartialPeerList()}, f.opts...)...)
 	f.adopt(b)
 	f.boards[i] = b
 }
@@ -448,13 +448,13 @@
 	return func(i int, cost float64) bool {
 		all := 0.0
 		for k := range parts {
-			all += parts[k].asked.level(f.now)
+			all += parts[k].asked.windowRate(f.now)
 		}
 		p := &parts[i]
 		even := 1 / float64(len(parts))
 		share := even
 		if all > 0 {
-			share = evenPart*even + (1-evenPart)*p.asked.level(f.now)/all
+			share = evenPart*even + (1-evenPart)*p.asked.windowRate(f.now)/all
 		}
 		p.asked.add(f.now, cost)
 		p.bucket.refillTo(f.now, f.rate*share, f.rate*share)
--- a/route/limit_test.go
+++ b/route/limit_test.go
@@ -132,19 +132,19 @@
 	const rounds = 400
 	for range rounds {
 		for range 10 {
-			w.ask("a", "x", false, true)
+			w.request("a", "x", false, true)
 		}
-		w.ask("b", "y", false, true)
+		w.request("b", "y", false, true)
 		w.now = w.now.Add(50 * time.Millisecond)
 		// Each round the engines finish two requests: a tenth of what is offered, twice what b asks for.
 		for range 2 {
-			if len(w.flying) > 0 {
-				a := w.pop(0)
+			if len(w.inFlight) > 0 {
+				a := w.takeInFlight(0)
 				served[w.asked[a.Request].Org]++
 				w.end(a, OutcomeDone, true, true)
 			}
 		}
-		w.take(w.board.Tick(w.now))
+		w.execute(w.board.Tick(w.now))
 	}
 	require.GreaterOrEqual(t, served["b"], rounds*95/100, "b gets all it asks for")
 	require.GreaterOrEqual(t, served["a"]+served["b"], 2*rounds*95/100, "a gets all that is left over")
@@ -154,14 +154,14 @@
 	w := newWorld(t, 3, 0, testSetup{window: 16})
 	const requests = 500
 	for range requests {
-		w.ask("b", "x", false, true)
-		for len(w.flying) > 0 {
-			w.end(w.pop(0), OutcomeUnsent, false, false)
+		w.request("b", "x", false, true)
+		for len(w.inFlight) > 0 {
+			w.end(w.takeInFlight(0), OutcomeUnsent, false, false)
 			for _, f := range w.targets {
 				w.report(f)
 			}
 			w.now = w.now.Add(time.Second)
-			w.take(w.board.Tick(w.now))
+			w.execute(w.board.Tick(w.now))
 		}
 	}
 	sends := 0
--- a/route/mechanism.go
+++ b/route/mechanism.go
@@ -101,5 +101,5 @@
 
 // WithoutMechanisms switches mechanisms off.
 func WithoutMechanisms(off Mechanisms) Option {
-	return func(b *Board) { b.off = off }
+	return func(b *Board) { b.disabled = off }
 }
--- a/route/meter.go
+++ b/route/meter.go
@@ -7,14 +7,14 @@
 
 // meter measures a rate per second, forgetting the past with a time constant.
 type meter struct {
-	over  time.Duration
-	value float64
-	at    time.Time
+	window time.Duration
+	value  float64
+	at     time.Time
 	// begun is when the first event was counted.
 	begun time.Time
 }
 
-func newMeter(over time.Duration) meter { return meter{over: over} }
+func newMeter(over time.Duration) meter { return meter{window: over} }
 
 func (m *meter) add(now time.Time, n float64) {
 	m.decay(now)
@@ -26,7 +26,7 @@
 
 func (m *meter) decay(now time.Time) {
 	if d := now.Sub(m.at); d > 0 {
-		m.value *= math.Exp(-float64(d) / float64(m.over))
+		m.value *= math.Exp(-float64(d) / float64(m.window))
 		m.at = now
 	}
 }
@@ -34,21 +34,21 @@
 // rate corrects for the time before the first event, which is no sign of a low rate.
 func (m *meter) rate(now time.Time) float64 {
 	m.decay(now)
-	seen := max(now.Sub(m.begun), m.over/16)
-	return m.value / (m.over.Seconds() * (1 - math.Exp(-float64(seen)/float64(m.over))))
+	seen := max(now.Sub(m.begun), m.window/16)
+	return m.value / (m.window.Seconds() * (1 - math.Exp(-float64(seen)/float64(m.window))))
 }
 
-// level is the rate over the time constant, which is low before that has passed:
+// windowRate is the rate over the time constant, which is low before that has passed:
 // one event alone makes no high rate.
-func (m *meter) level(now time.Time) float64 {
+func (m *meter) windowRate(now time.Time) float64 {
 	m.decay(now)
-	return m.value / m.over.Seconds()
+	return m.value / m.window.Seconds()
 }
 
 // meterOf returns the meter of a key, which measures over the time constant given.
-func meterOf(g *generations[Block, meter], key Block, over time.Duration) *meter {
-	m := g.use(key)
-	if m.over == 0 {
+func meterOf(g *generationalMap[Block, meter], key Block, over time.Duration) *meter {
+	m := g.getOrCreate(key)
+	if m.window == 0 {
 		*m = newMeter(over)
 	}
 	return m
--- a/route/parts.go
+++ b/route/parts.go
@@ -31,14 +31,14 @@
 	// relayed says that another router read them.
 	relayed bool
 	// only counts the tokens of shared parts that no other target holds.
-	only int
+	soleTokens int
 }
 
 // The times of a target's events about its cache.
 const (
-	// eventsGood is how long after the last reading events are relied on alone:
+	// eventsValidFor is how long after the last reading events are relied on alone:
 	// readings are held for a second at most.
-	eventsGood = 3 * time.Second
+	eventsValidFor = 3 * time.Second
 	// eventsLag is how long it may take until an event tells of what was sent. On
 	// the users' sites they are told up to 0.2 s late, after the prefill itself.
 	eventsLag = 700 * time.Millisecond
@@ -54,7 +54,7 @@
 // the new one yet. ok is false then.
 func (b *Board) PartChanges(now time.Time, addr netip.AddrPort, start time.Time, anew bool, changes []PartChange) (ok bool) {
 	t, ok := b.targets[addr]
-	if !ok || b.off.Has(CacheEvents) {
+	if !ok || b.disabled.Has(CacheEvents) {
 		return true
 	}
 	if t.incarnation.OtherStart(start) {
@@ -82,8 +82,8 @@
 // holds any more is not counted as one until it is named again.
 func (b *Board) setPart(t *target, key partKey, tokens int, shared bool) {
 	if shared {
-		b.countOnly(key, -1)
-		defer b.countOnly(key, 1)
+		b.adjustSoleTokens(key, -1)
+		defer b.adjustSoleTokens(key, 1)
 	}
 	if tokens > 0 {
 		t.parts.tokens[key] = tokens
@@ -97,10 +97,10 @@
 	}
 }
 
-// countOnly adds a shared part to, or takes it from, what its only holder alone holds.
-func (b *Board) countOnly(key partKey, sign int) {
+// adjustSoleTokens adds a shared part to, or takes it from, what its only holder alone holds.
+func (b *Board) adjustSoleTokens(key partKey, sign int) {
 	if holders := b.partHolders[key]; len(holders) == 1 {
-		holders[0].parts.only += sign * holders[0].parts.tokens[key]
+		holders[0].parts.soleTokens += sign * holders[0].parts.tokens[key]
 	}
 }
 
@@ -138,8 +138,8 @@
 
 // markHolders marks, for this round, some holders of a chain's last shared parts.
 func (b *Board) markHolders(c *chain) {
-	for i := len(c.keys) - 2; i >= 0 && i >= len(c.keys)-1-partLevels; i-- {
-		list := b.partHolders[c.keys[i]]
+	for i := len(c.partKeys) - 2; i >= 0 && i >= len(c.partKeys)-1-partLevels; i-- {
+		list := b.partHolders[c.partKeys[i]]
 		for _, t := range list[:min(len(list), holdersPerPart)] {
 			t.round = b.round
 		}
@@ -154,12 +154,14 @@
 )
 
 // known reports whether the target's events are read.
-func (h *heldParts) known(now time.Time) bool { return h.tokens != nil && now.Sub(h.at) < eventsGood }
+func (h *heldParts) known(now time.Time) bool {
+	return h.tokens != nil && now.Sub(h.at) < eventsValidFor
+}
 
-// leading returns how many tokens of a chain's leading parts the target holds.
-func (h *heldParts) leading(c *chain) int {
+// leadingTokens returns how many tokens of a chain's leading parts the target holds.
+func (h *heldParts) leadingTokens(c *chain) int {
 	total := 0
-	for i, key := range c.keys {
+	for i, key := range c.partKeys {
 		size := c.tokens[i]
 		if i > 0 {
 			size -= c.tokens[i-1]
--- a/route/parts_test.go
+++ b/route/parts_test.go
@@ -35,7 +35,7 @@
 const testGuessTime = 3 * time.Second
 
 func newPartsBoard(t require.TestingT, engines int, opts ...Option) *partsBoard {
-	opts = append([]Option{WithOwnRoom(10 * time.Second), WithNumberedWeights(Staleness{
+	opts = append([]Option{WithMaxPendingPrefill(10 * time.Second), WithNumberedWeights(Staleness{
 		Grace: time.Second, Price: 250 * time.Millisecond, Limit: 9 * time.Second, BeginLimit: testBeginLimit, GuessTime: testGuessTime,
 	})}, opts...)
 	p := &partsBoard{t: t, b: NewBoard(opts...), now: epoch}
@@ -62,12 +62,12 @@
 		p.report(i, "1")
 	}
 	p.b.Report(p.now, storeTestAddr, Report{Incarnation: "store"})
-	p.named("1")
+	p.announceWeights("1")
 	return p
 }
 
-// named tells the board that weights were named now; until now the former ones were the newest.
-func (p *partsBoard) named(weights string) {
+// announceWeights tells the board that weights were named now; until now the former ones were the newest.
+func (p *partsBoard) announceWeights(weights string) {
 	if before := p.b.NewestWeights("m"); before != "" {
 		p.b.Newest(p.now, NewestAt(p.now, p.now, "m", before))
 	}
@@ -82,8 +82,8 @@
 	})
 }
 
-// holds says by an event that an engine holds parts under the salt of a request.
-func (p *partsBoard) holds(addr netip.AddrPort, salt string, parts ...Part) {
+// reportParts says by an event that an engine holds parts under the salt of a request.
+func (p *partsBoard) reportParts(addr netip.AddrPort, salt string, parts ...Part) {
 	var changes []PartChange
 	for _, part := range parts {
 		changes = append(changes, PartChange{Salt: salt, ID: part.ID, Tokens: part.Tokens})
@@ -101,8 +101,8 @@
 	}
 }
 
-// ask places a request and returns the attempt, or nil if it waits or was refused.
-func (p *partsBoard) ask(r Request) *Attempt {
+// place places a request and returns the attempt, or nil if it waits or was refused.
+func (p *partsBoard) place(r Request) *Attempt {
 	for _, a := range p.b.Arrive(p.now, r) {
 		if s, ok := a.(Send); ok && s.Attempt.Request == r.ID {
 			return &s.Attempt
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (p *partsBoard) done(a *Attempt) {
+func (p *partsBoard) finish(a *Attempt) {
 	p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeDone})
 }
 
@@ -123,36 +123,36 @@
 // A request goes where its parts are held, and an event that they are gone ends that.
 func TestPartsFollowEvents(t *testing.T) {
 	p := newPartsBoard(t, 4)
-	first := p.ask(p.request("a", append(shared, own)...))
+	first := p.place(p.request("a", append(shared, own)...))
 	require.NotNil(t, first)
-	p.done(first)
+	p.finish(first)
 	p.now = p.now.Add(2 * time.Second)
 	for i := range 4 {
-		p.holds(testAddr(i), first.Salt)
+		p.reportParts(testAddr(i), first.Salt)
 	}
-	p.holds(testAddr(2), first.Salt, shared...)
-	next := p.ask(p.request("b", append(shared, Part{"other", 500})...))
+	p.reportParts(testAddr(2), first.Salt, shared...)
+	next := p.place(p.request("b", append(shared, Part{"other", 500})...))
 	require.Equal(t, testAddr(2), next.Target, "what events tell goes before what was sent long ago")
 	require.Equal(t, first.Salt, next.Salt, "both organisations share")
-	p.done(next)
-	walled := p.ask(p.request("walled", append(shared, own)...))
+	p.finish(next)
+	walled := p.place(p.request("walled", append(shared, own)...))
 	require.NotEqual(t, first.Salt, walled.Salt)
-	p.done(walled)
+	p.finish(walled)
 	p.now = p.now.Add(time.Second)
-	p.holds(testAddr(2), first.Salt, Part{"bb", 0})
+	p.reportParts(testAddr(2), first.Salt, Part{"bb", 0})
 	c := newPartsChain(first.Salt, append(shared, own))
-	require.Equal(t, 2000, p.b.targets[testAddr(2)].parts.leading(c), "parts before the lost one stay")
+	require.Equal(t, 2000, p.b.targets[testAddr(2)].parts.leadingTokens(c), "parts before the lost one stay")
 }
 
 // A busy holder's parts are fetched by another engine, under the same salt alone.
 func TestPartsFetch(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	salt := p.request("a", shared...).saltOf("1")
-	p.holds(testAddr(0), salt, shared...)
-	p.holds(testAddr(1), salt)
+	p.reportParts(testAddr(0), salt, shared...)
+	p.reportParts(testAddr(1), salt)
 	for i := 0; ; i++ {
 		require.Less(t, i, 200, "the holder was never left")
-		a := p.ask(p.request("a", append(shared, Part{fmt.Sprint("own", i), 2000})...))
+		a := p.place(p.request("a", append(shared, Part{fmt.Sprint("own", i), 2000})...))
 		if a == nil {
 			return // memory is full before the other engine is worth it
 		}
@@ -172,28 +172,28 @@
 	p := newPartsBoard(t, 2)
 	salt := p.request("a", shared...).saltOf("1")
 	p.b.PartChanges(p.now, storeTestAddr, time.Time{}, true, nil)
-	p.holds(testAddr(0), salt)
-	p.holds(testAddr(1), salt)
-	cold := p.ask(p.request("a", append(shared, own)...))
+	p.reportParts(testAddr(0), salt)
+	p.reportParts(testAddr(1), salt)
+	cold := p.place(p.request("a", append(shared, own)...))
 	require.Equal(t, storeTestAddr, cold.Save, "newly read shared parts are saved")
 	require.False(t, cold.Fetch.IsValid())
-	p.done(cold)
+	p.finish(cold)
 	p.now = p.now.Add(3 * time.Second)
-	p.holds(testAddr(0), salt)
-	p.holds(testAddr(1), salt)
+	p.reportParts(testAddr(0), salt)
+	p.reportParts(testAddr(1), salt)
 	p.b.PartChanges(p.now, storeTestAddr, time.Time{}, false, []PartChange{{salt, "aa", 2000}, {salt, "bb", 4000}})
-	again := p.ask(p.request("a", append(shared, Part{"own2", 500})...))
+	again := p.place(p.request("a", append(shared, Part{"own2", 500})...))
 	require.Equal(t, storeTestAddr, again.Fetch)
 	require.False(t, again.Save.IsValid(), "the store has them")
 	moved := 0
 	for i := range 200 {
 		kept := Part{fmt.Sprint("kept", i), 6000}
 		p.b.PartChanges(p.now, storeTestAddr, time.Time{}, false, []PartChange{{salt, kept.ID, kept.Tokens}})
-		if a := p.ask(p.request("a", kept, Part{fmt.Sprint("x", i), 1})); a != nil {
+		if a := p.place(p.request("a", kept, Part{fmt.Sprint("x", i), 1})); a != nil {
 			if a.Fetch == storeTestAddr {
 				moved += 6000
 			}
-			p.done(a)
+			p.finish(a)
 		}
 	}
 	require.Positive(t, moved)
@@ -228,7 +228,7 @@
 	for i := range 100 {
 		read()
 		part := fmt.Sprint("part", i%50)
-		a := p.ask(p.request("a", Part{part, 6000}, Part{fmt.Sprint("own", i), 500}))
+		a := p.place(p.request("a", Part{part, 6000}, Part{fmt.Sprint("own", i), 500}))
 		if a.Save.IsValid() {
 			saved[a.Save] += 6500
 			if home, ok := homes[part]; ok {
@@ -236,7 +236,7 @@
 			}
 			homes[part] = a.Save
 		}
-		p.done(a)
+		p.finish(a)
 		p.now = p.now.Add(200 * time.Millisecond)
 	}
 	for _, addr := range stores {
@@ -248,10 +248,10 @@
 	for part, home := range homes {
 		read()
 		p.b.PartChanges(p.now, home, time.Time{}, false, []PartChange{{salt, part, 6000}})
-		a := p.ask(p.request("a", Part{part, 6000}, Part{"last" + part, 500}))
+		a := p.place(p.request("a", Part{part, 6000}, Part{"last" + part, 500}))
 		require.Equal(t, home, a.Fetch)
 		require.False(t, a.Save.IsValid())
-		p.done(a)
+		p.finish(a)
 		p.now = p.now.Add(200 * time.Millisecond)
 	}
 }
@@ -259,7 +259,7 @@
 // A store's room goes to prompts that are shared for the most part: where engines read
 // far more anew than the store can take, it gets more that serves others for the same
 // room than if each prompt in turn were saved.
-func TestSavesSpendRoomOnSharedParts(t *testing.T) {
+func TestSavesPreferSharedParts(t *testing.T) {
 	p := newPartsBoard(t, 1)
 	shares, room := 0, 0
 	const every = 100 * time.Millisecond
@@ -267,12 +267,12 @@
 		p.b.PartChanges(p.now, testAddr(0), time.Time{}, true, nil)
 		p.b.PartChanges(p.now, storeTestAddr, time.Time{}, false, nil)
 		last := []int{300, 1500, 6000}[i%3]
-		a := p.ask(p.request("a", Part{fmt.Sprint("part", i), 4000}, Part{fmt.Sprint("own", i), last}))
+		a := p.place(p.request("a", Part{fmt.Sprint("part", i), 4000}, Part{fmt.Sprint("own", i), last}))
 		if a.Save.IsValid() {
 			shares += 4000
 			room += 4000 + last
 		}
-		p.done(a)
+		p.finish(a)
 		p.now = p.now.Add(every)
 	}
 	t.Logf("%d of %d tokens saved are shared", shares, room)
@@ -289,7 +289,7 @@
 		held := make(map[netip.AddrPort]int)
 		for i := range 30 {
 			size := rapid.IntRange(1, 9000).Draw(rt, "size")
-			a := p.ask(p.request("a", Part{fmt.Sprint("p", i), size}))
+			a := p.place(p.request("a", Part{fmt.Sprint("p", i), size}))
 			if a == nil {
 				continue
 			}
@@ -306,30 +306,30 @@
 // which counts from the first naming that replaced them.
 func TestStaleWeights(t *testing.T) {
 	p := newPartsBoard(t, 2)
-	p.named("2")
+	p.announceWeights("2")
 	p.report(1, "2")
 	p.now = p.now.Add(5 * time.Second)
-	p.named("3")
+	p.announceWeights("3")
 	for i := range 5 {
-		a := p.ask(p.request("a", Part{fmt.Sprint("n", i), 1000}))
+		a := p.place(p.request("a", Part{fmt.Sprint("n", i), 1000}))
 		require.Equal(t, testAddr(1), a.Target, "newer weights go first")
 		require.Equal(t, "2", a.Weights)
-		p.done(a)
+		p.finish(a)
 	}
 	p.now = p.now.Add(5 * time.Second)
 	p.b.Hold(map[Mark]bool{{testAddr(1), "1"}: true})
-	require.Nil(t, p.ask(p.request("a", Part{"late", 1000})), "the first weights are too old")
+	require.Nil(t, p.place(p.request("a", Part{"late", 1000})), "the first weights are too old")
 	p.b.Hold(nil)
-	require.Equal(t, "2", p.ask(p.request("a", Part{"late2", 1000})).Weights)
+	require.Equal(t, "2", p.place(p.request("a", Part{"late2", 1000})).Weights)
 }
 
 // An address at which another incarnation answers may be another pool's by now. It
 // gets no work until the incarnation is reported.
-func TestStrangerAtAddress(t *testing.T) {
+func TestUnknownIncarnationAtAddress(t *testing.T) {
 	p := newPartsBoard(t, 1, WithReusedAddresses())
-	a := p.ask(p.request("a", Part{"x", 10}))
+	a := p.place(p.request("a", Part{"x", 10}))
 	p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeRefused, Incarnation: "new"})
-	require.Nil(t, p.ask(p.request("a", Part{"y", 10})), "nobody said whose the address is now")
+	require.Nil(t, p.place(p.request("a", Part{"y", 10})), "nobody said whose the address is now")
 	for _, act := range p.b.Report(p.now, testAddr(0), Report{
 		Incarnation: "new", Weights: map[string]string{"m": "1"}, PrefillRate: 50000, Slots: 64,
 	}) {
@@ -344,12 +344,12 @@
 // A silent target is left at once and comes back with its next sign of life.
 func TestSilentTarget(t *testing.T) {
 	p := newPartsBoard(t, 2)
-	a := p.ask(p.request("a", Part{"x", 10}))
+	a := p.place(p.request("a", Part{"x", 10}))
 	p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Silent: true})
 	for i := range 5 {
-		b := p.ask(p.request("a", Part{fmt.Sprint("y", i), 10}))
+		b := p.place(p.request("a", Part{fmt.Sprint("y", i), 10}))
 		require.NotEqual(t, a.Target, b.Target)
-		p.done(b)
+		p.finish(b)
 	}
 	for i := range 2 {
 		p.report(i, "1")
@@ -362,7 +362,7 @@
 	p := newPartsBoard(t, 2)
 	p.b.snap.Config.Requests.RetryReserve = 50
 	p.b.snap.Config.Requests.RetryWindow = policy.Duration(10 * time.Second)
-	a := p.ask(p.request("a", Part{"x", 10}))
+	a := p.place(p.request("a", Part{"x", 10}))
 	out := p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeUnsent})
 	require.Len(t, out, 1)
 	again, ok := out[0].(Send)
@@ -377,11 +377,11 @@
 // prompt to the same engine, and fetch its shared parts there from elsewhere.
 func TestAssumedHolder(t *testing.T) {
 	one, two := newPartsBoard(t, 6), newPartsBoard(t, 6, WithSeed(7))
-	a := one.ask(one.request("a", append(shared, own)...))
-	require.Equal(t, a.Target, two.ask(two.request("b", append(shared, Part{"x", 700})...)).Target)
+	a := one.place(one.request("a", append(shared, own)...))
+	require.Equal(t, a.Target, two.place(two.request("b", append(shared, Part{"x", 700})...)).Target)
 	two.b.Hold(map[Mark]bool{{a.Target, "0"}: true, {a.Target, "1"}: true, {a.Target, "2"}: true,
 		{a.Target, "3"}: true, {a.Target, "4"}: true, {a.Target, "5"}: true})
-	next := two.ask(two.request("b", append(shared, Part{"y", 700})...))
+	next := two.place(two.request("b", append(shared, Part{"y", 700})...))
 	require.NotEqual(t, a.Target, next.Target)
 	require.NotEqual(t, a.Target, next.Fetch, "a held target is no candidate; the next in order is")
 }
@@ -396,7 +396,7 @@
 		full.Loads = append(full.Loads, Load{Target: Mark{testAddr(i), Incarnation(fmt.Sprint(i))}, InFlight: 1, Tokens: partsMemory})
 	}
 	p.b.Peers(p.now, map[string]PeerState{"peer": full}, 2)
-	a := p.ask(p.request("a", append(shared, own)...))
+	a := p.place(p.request("a", append(shared, own)...))
 	for range 200 {
 		if a != nil {
 			break
--- a/route/peers.go
+++ b/route/peers.go
@@ -185,7 +185,7 @@
 	}
 	s.Silent = b.silentTold(now)
 	s.Rollouts = b.Rollouts(now)
-	s.Hot = b.hot.told(now)
+	s.Hot = b.hot.report(now)
 	s.Shared = b.shared.told(now)
 	b.trimFills(now)
 	for _, f := range b.fills[max(0, len(b.fills)-maxFills):] {
@@ -229,9 +229,9 @@
 func (b *Board) Peers(now time.Time, states map[string]PeerState, routers int) []Action {
 	b.routers = max(1, routers, len(states)+1)
 	if b.snap != nil {
-		b.crowd.see(now, b.routers, time.Duration(b.snap.Config.Requests.RetryWindow))
+		b.recentRouters.observe(now, b.routers, time.Duration(b.snap.Config.Requests.RetryWindow))
 	}
-	b.sharers.see(now, b.routers, sharersKept)
+	b.limitSharers.observe(now, b.routers, sharersKept)
 	for id, s := range states {
 		b.peers[id] = s
 	}
@@ -244,7 +244,7 @@
 	b.mergeShared(states)
 	b.mergeSilent(now, states)
 	b.mergeRollouts(now, states)
-	b.dropFills(now)
+	b.expireFills(now)
 	b.shareLimits(now, states)
 	b.mergeLimits(now, states)
 	return b.dispatch(now)
@@ -297,7 +297,7 @@
 	for _, s := range states {
 		for _, f := range s.Fills {
 			if t, ok := b.marked(f.Target); ok {
-				b.believeFill(now, t, f)
+				b.recordFill(now, t, f)
 			}
 		}
 	}
--- a/route/place.go
+++ b/route/place.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// held is the deepest block a target was ever known to hold of a prompt, and how long ago.
-type held struct {
+// heldPrefix is the deepest block a target was ever known to hold of a prompt, and how long ago.
+type heldPrefix struct {
 	tokens int
 	age    time.Duration
 }
@@ -21,12 +21,12 @@
 	chain   *chain
 	// trusted is the cached part of the prompt that is believed, in tokens;
 	// held is the deepest block ever known there.
-	trusted int
+	cachedTokens int
 	// ready is the part of trusted that the target has read, in tokens, and unread the
 	// reading that the rest, or what is to be fetched, waits for; it is zero for none.
-	ready  int
-	unread fill
-	held   held
+	readyTokens int
+	pending     pendingFill
+	held        heldPrefix
 	// rank orders equal candidates the same way on every router.
 	rank uint64
 	wait time.Duration
@@ -35,21 +35,21 @@
 	imported Import
 	transfer time.Duration
 	// fetchFrom is a target that holds more of the prompt, and fetched how far, in tokens.
-	fetchFrom netip.AddrPort
-	fetched   int
+	fetchFrom   netip.AddrPort
+	fetchTokens int
 	// store is that target where it is a store of KV cache.
 	store *target
 	// far says that it stands in another failure domain.
-	far bool
+	crossZone bool
 	// assumed says that what the candidate holds was not told by events.
 	assumed bool
 	// extra is the cost of older weights, of failures and of distance.
-	extra time.Duration
+	penalty time.Duration
 }
 
 // uncached is the part of the prompt that the candidate would compute, in tokens.
 func (c *candidate) uncached(r *request) int {
-	have := max(c.trusted, c.imported.Tokens, c.fetched)
+	have := max(c.cachedTokens, c.imported.Tokens, c.fetchTokens)
 	return r.promptTokens() - min(have, r.promptTokens())
 }
 
@@ -57,13 +57,13 @@
 	slices.SortFunc(ts, func(a, b *target) int { return a.addr.Compare(b.addr) })
 }
 
-// fullScan is the pool size up to which every member is a candidate; of larger
+// maxFullScan is the pool size up to which every member is a candidate; of larger
 // pools only known holders, the first in rendezvous order and a random few are.
 const (
-	fullScan      = 24
+	maxFullScan   = 24
 	rendezvousTop = 4
-	randomMore    = 6
-	pricePerRetry = 2 * time.Second
+	randomExtra   = 6
+	retryPenalty  = 2 * time.Second
 )
 
 // choose places a request: it returns the best candidate that has room, and how
@@ -101,7 +101,7 @@
 	room := 0
 	for i := range cs {
 		least = min(least, cs[i].cost)
-		if b.hasRoom(cs[i].target, p, r) {
+		if b.hasCapacity(cs[i].target, p, r) {
 			cs[room], cs[i] = cs[i], cs[room]
 			room++
 		}
@@ -113,11 +113,11 @@
 	return best, best.cost - least
 }
 
-// roomWait is the longest wait, for prefills that all routers sent to an engine,
+// maxPrefillWait is the longest wait, for prefills that all routers sent to an engine,
 // at which it gets one more request. What waits longer waits here, in its
 // organisation's queue, and keeps its choice. Each router keeps to its part by
 // what it sent itself: what peers sent is known too late to hold anything back.
-const roomWait = 200 * time.Millisecond
+const maxPrefillWait = 200 * time.Millisecond
 
 // windowFactor is the room that a target without a declared window has, as a
 // multiple of its slots: those and a queue half as long again.
@@ -131,34 +131,34 @@
 	return int(windowFactor * float64(t.slots()))
 }
 
-// room is the prefill that this router may have waiting at one engine.
-func (b *Board) room() time.Duration {
-	if b.ownRoom > 0 {
-		return b.ownRoom
+// pendingPrefillLimit is the prefill that this router may have waiting at one engine.
+func (b *Board) pendingPrefillLimit() time.Duration {
+	if b.maxPendingPrefill > 0 {
+		return b.maxPendingPrefill
 	}
-	return roomWait / time.Duration(b.routers)
+	return maxPrefillWait / time.Duration(b.routers)
 }
 
-// memoryPart is the part of an engine's cache that running requests may take. With
+// memoryFraction is the part of an engine's cache that running requests may take. With
 // all of it, what they share is displaced and read again, so that they run longer and
 // take yet more; with half, requests wait for room that their engine has. Measured in
 // docs/design/measures.md.
-const memoryPart = 0.7
+const memoryFraction = 0.7
 
 // hasMemory reports whether the engine can hold one more request beside what it keeps.
 func (t *target) hasMemory(p *pool, r *request) bool {
-	most := memoryPart * float64(p.compiled.CacheTokens)
+	most := memoryFraction * float64(p.compiled.CacheTokens)
 	held := t.tokens + t.peerTokens
 	return most == 0 || held == 0 || float64(held+r.size()) <= most
 }
 
-func (b *Board) hasRoom(t *target, p *pool, r *request) bool {
-	if !b.off.Has(MemoryBound) && !t.hasMemory(p, r) {
+func (b *Board) hasCapacity(t *target, p *pool, r *request) bool {
+	if !b.disabled.Has(MemoryBound) && !t.hasMemory(p, r) {
 		return false
 	}
 	n := t.inFlight()
 	own := seconds(float64(t.prefill) / t.rate())
-	return len(t.attempts) == 0 || n < t.window(p) && own <= b.room()
+	return len(t.attempts) == 0 || n < t.window(p) && own <= b.pendingPrefillLimit()
 }
 
 // candidates lists the targets that serve the request, with predictions.
@@ -174,19 +174,19 @@
 	for i := range cs {
 		cs[i].wait = cs[i].target.queueWait(now)
 	}
-	price *= 1 + b.delayed(now, p, cs)
+	price *= 1 + b.delayedRequests(now, p, cs)
 	for i := range cs {
 		b.predict(&cs[i], r, price)
 	}
 	return slices.DeleteFunc(cs, func(c candidate) bool {
-		return r.Model != nil && b.tooOldBy(now.Add(c.first(r)), r.Model.Name, c.weights)
+		return r.Model != nil && b.tooOldBy(now.Add(c.timeToFirstToken(r)), r.Model.Name, c.weights)
 	})
 }
 
-// delayed is the mean number of requests that wait for one target here or arrive
+// delayedRequests is the mean number of requests that wait for one target here or arrive
 // while its queue drains: each second of prefill that could have been spared is a second
 // that all of them wait, so the busier the pool, the more it costs.
-func (b *Board) delayed(now time.Time, p *pool, cs []candidate) float64 {
+func (b *Board) delayedRequests(now time.Time, p *pool, cs []candidate) float64 {
 	if len(cs) == 0 {
 		return 0
 	}
@@ -195,44 +195,44 @@
 		wait += c.wait
 	}
 	fleet := float64(b.routers) / float64(b.size(p))
-	arriving := p.offered.rate(now) * (wait / time.Duration(len(cs))).Seconds()
+	arriving := p.arrivals.rate(now) * (wait / time.Duration(len(cs))).Seconds()
 	return fleet * (arriving + float64(p.queue.n))
 }
 
-// LabelZone is the label with a target's failure domain, and zoneCost what one in
+// LabelZone is the label with a target's failure domain, and crossZoneRoundTrip what one in
 // another costs: a round trip between domains takes 2 to 3 ms on the users' sites.
 const (
-	LabelZone = "zone"
-	zoneCost  = 3 * time.Millisecond
+	LabelZone          = "zone"
+	crossZoneRoundTrip = 3 * time.Millisecond
 )
 
-// bytePrice is what a byte to or from another failure domain costs: by the users'
+// crossZoneByteCost is what a byte to or from another failure domain costs: by the users'
 // prices 100 KB cost as much as reading 1,000 tokens again, for which an engine takes
 // some 25 ms, whose price is as much again.
-const bytePrice = 500 * time.Nanosecond
+const crossZoneByteCost = 500 * time.Nanosecond
 
-// distance prices a target in another failure domain for a request of some bytes.
-func (b *Board) distance(t *target, bytes int) time.Duration {
-	if b.zone == "" || b.off.Has(Distance) || t.labels[LabelZone] == b.zone {
+// distanceCost prices a target in another failure domain for a request of some bytes.
+func (b *Board) distanceCost(t *target, bytes int) time.Duration {
+	if b.zone == "" || b.disabled.Has(Distance) || t.labels[LabelZone] == b.zone {
 		return 0
 	}
-	return time.Duration(bytes) * bytePrice
+	return time.Duration(bytes) * crossZoneByteCost
 }
 
-// farService prices a target of a plain service, whose answers a round trip delays.
-func (b *Board) farService(t *target, r *request) time.Duration {
-	far := b.distance(t, r.Bytes)
+// serviceDistanceCost prices a target of a plain service, whose answers a round trip delays.
+func (b *Board) serviceDistanceCost(t *target, r *request) time.Duration {
+	far := b.distanceCost(t, r.Bytes)
 	if far == 0 {
 		return 0
 	}
-	return far + zoneCost
+	return far + crossZoneRoundTrip
 }
 
 func (b *Board) serviceCandidates(cs []candidate, now time.Time, p *pool, r *request) []candidate {
 	b.recruit(now, p, r)
 	for _, t := range p.members {
 		if t.usable() && !t.rests(now) && b.onSide(now, p, r.side, t) {
-			cs = append(cs, candidate{target: t, rank: b.rng.Uint64(), extra: b.missCost(now, t) + b.farService(t, r)})
+			cs = append(cs, candidate{target: t, rank: b.rng.Uint64(), penalty: b.missCost(now, t) + b.serviceDistanceCost(t, r)})
 		}
 	}
 	return cs
@@ -244,23 +244,23 @@
 	b.recruit(now, p, r)
 	list := b.ofSide(now, p, r, b.awake(now, b.servers(p, r)))
 	n := max(len(list), b.reserve.Size(p.compiled.Name))
-	if len(list) > fullScan {
+	if len(list) > maxFullScan {
 		cs = b.narrow(cs, list, n, r)
 	} else {
 		for _, s := range list {
 			cs = append(cs, candidate{target: s.target, weights: s.weights, chain: r.chain(s.weights)})
 		}
 	}
-	cs = b.weigh(cs, now, r, list)
-	b.believe(cs, now, r, n)
-	keepHome(cs, r)
+	cs = b.applyPenalties(cs, now, r, list)
+	b.estimateCached(cs, now, r, n)
+	penalizeNonHome(cs, r)
 	b.considerImports(now, cs, r)
 	b.considerFetches(now, cs, p, r)
 	return cs
 }
 
-// weigh drops candidates whose weights are too old and prices what speaks against the others.
-func (b *Board) weigh(cs []candidate, now time.Time, r *request, list []server) []candidate {
+// applyPenalties drops candidates whose weights are too old and prices what speaks against the others.
+func (b *Board) applyPenalties(cs []candidate, now time.Time, r *request, list []server) []candidate {
 	kept := cs[:0]
 	prefers := b.prefersNewest(r, list)
 	for _, c := range cs {
@@ -273,39 +273,39 @@
 		case u == useAtPrice && prefers:
 			price = b.staleness.Price
 		}
-		c.extra = price + b.missCost(now, c.target) + b.distance(c.target, r.Bytes)
+		c.penalty = price + b.missCost(now, c.target) + b.distanceCost(c.target, r.Bytes)
 		kept = append(kept, c)
 	}
 	return kept
 }
 
-// believe fills in the ranks in a pool of n and what each candidate is known to hold.
-func (b *Board) believe(cs []candidate, now time.Time, r *request, n int) {
+// estimateCached fills in the ranks in a pool of n and what each candidate is known to hold.
+func (b *Board) estimateCached(cs []candidate, now time.Time, r *request, n int) {
 	for i := range cs {
 		c := &cs[i]
 		if i == 0 || c.chain != cs[i-1].chain {
-			b.findHeld(cs, c.chain, now)
+			b.lookUpHolders(cs, c.chain, now)
 		}
-		c.rank = mix(uint64(b.beliefs.anchor(c.chain)) ^ c.target.hash)
-		if r.homes.size > 0 {
+		c.rank = mixHash(uint64(b.prefixes.affinityBlock(c.chain)) ^ c.target.hash)
+		if r.homes.setSize > 0 {
 			c.rank = r.homes.rank(n, c.target.hash)
 		}
 		if c.target.parts.known(now) {
-			held := c.target.parts.leading(c.chain)
-			c.trusted, c.ready = max(c.trusted, held), max(c.ready, held)
+			held := c.target.parts.leadingTokens(c.chain)
+			c.cachedTokens, c.readyTokens = max(c.cachedTokens, held), max(c.readyTokens, held)
 		}
-		if r.anew {
-			c.trusted = c.ready
+		if r.ignorePendingFills {
+			c.cachedTokens = c.readyTokens
 		}
-		if c.ready == c.trusted {
-			c.unread = fill{}
+		if c.readyTokens == c.cachedTokens {
+			c.pending = pendingFill{}
 		}
 	}
 }
 
-// findHeld walks a chain from its deepest known block up until every candidate
+// lookUpHolders walks a chain from its deepest known block up until every candidate
 // with that chain has a block that is trusted.
-func (b *Board) findHeld(cs []candidate, c *chain, now time.Time) {
+func (b *Board) lookUpHolders(cs []candidate, c *chain, now time.Time) {
 	b.round++
 	open := 0
 	for i := range cs {
@@ -315,9 +315,9 @@
 		}
 	}
 	ms := now.UnixMilli()
-	for l := b.beliefs.deepest(c); l >= 0 && open > 0; l-- {
-		i := c.levels[l]
-		e := b.beliefs.blocks.get(c.blocks[i])
+	for l := b.prefixes.deepest(c); l >= 0 && open > 0; l-- {
+		i := c.trackedBlocks[l]
+		e := b.prefixes.blocks.get(c.blocks[i])
 		if e == nil {
 			continue
 		}
@@ -326,31 +326,31 @@
 			if !ok || t.round != b.round {
 				continue
 			}
-			f, reading := b.reading(now, h.slot, c.blocks[i])
-			if cs[t.candidate].note(now, c.tokens[i], time.Duration(ms-h.at)*time.Millisecond, f, reading) {
+			f, reading := b.pendingFillOf(now, h.slot, c.blocks[i])
+			if cs[t.candidate].observeBlock(now, c.tokens[i], time.Duration(ms-h.at)*time.Millisecond, f, reading) {
 				open--
 			}
 		}
 	}
 }
 
-// note takes a block known at the candidate, whose reading may be under way, and
+// observeBlock takes a block known at the candidate, whose reading may be under way, and
 // reports whether it is the first trusted one that is read.
-func (c *candidate) note(now time.Time, tokens int, age time.Duration, f fill, reading bool) bool {
+func (c *candidate) observeBlock(now time.Time, tokens int, age time.Duration, f pendingFill, reading bool) bool {
 	if c.held.tokens == 0 {
-		c.held = held{tokens: tokens, age: age}
+		c.held = heldPrefix{tokens: tokens, age: age}
 	}
-	if c.ready > 0 || !c.target.trusts(now, age) {
+	if c.readyTokens > 0 || !c.target.trusts(now, age) {
 		return false
 	}
-	if c.trusted == 0 {
-		c.trusted = tokens
-		c.unread = f
+	if c.cachedTokens == 0 {
+		c.cachedTokens = tokens
+		c.pending = f
 	}
 	if reading {
 		return false
 	}
-	c.ready = tokens
+	c.readyTokens = tokens
 	return true
 }
 
@@ -366,8 +366,8 @@
 	return t.horizon.trusts(age)
 }
 
-// mix scrambles a number so that its bits can order targets.
-func mix(x uint64) uint64 {
+// mixHash scrambles a number so that its bits can order targets.
+func mixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -384,9 +384,9 @@
 // second of prefill costs in seconds of waiting.
 func (b *Board) predict(c *candidate, r *request, price float64) {
 	t := c.target
-	c.cost = c.extra + c.first(r) + seconds(c.prefill(r).Seconds()*price)
+	c.cost = c.penalty + c.timeToFirstToken(r) + seconds(c.prefill(r).Seconds()*price)
 	if r.tried[t.addr] {
-		c.cost += pricePerRetry
+		c.cost += retryPenalty
 	}
 }
 
@@ -408,12 +408,12 @@
 // reason explains a placement to operators.
 func (c *candidate) reason(r *request, n int) string {
 	text := fmt.Sprintf("predicted cost %s: wait %s, %d of %d prompt tokens believed cached, best of %d",
-		c.cost.Round(time.Microsecond), c.wait.Round(time.Microsecond), c.trusted, r.promptTokens(), n)
+		c.cost.Round(time.Microsecond), c.wait.Round(time.Microsecond), c.cachedTokens, r.promptTokens(), n)
 	if c.imported.Tokens > 0 {
 		text += fmt.Sprintf(", %d imported in %s", c.imported.Tokens, c.transfer.Round(time.Microsecond))
 	}
 	if c.fetchFrom.IsValid() {
-		text += fmt.Sprintf(", up to %d fetched from %s", c.fetched, c.fetchFrom)
+		text += fmt.Sprintf(", up to %d fetched from %s", c.fetchTokens, c.fetchFrom)
 	}
 	if c.weights != "" {
 		text += ", weights " + c.weights
--- a/route/placed_test.go
+++ b/route/placed_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPlacedTold checks that a request with much to read is told of at once, with
+// TestPlacementReport checks that a request with much to read is told of at once, with
 // the router's whole load at its target, and one with little is not.
-func TestPlacedTold(t *testing.T) {
-	var told []Placed
-	f := newPartsBoard(t, 1, WithPlaced(func(p Placed) { told = append(told, p) }))
+func TestPlacementReport(t *testing.T) {
+	var told []PlacementReport
+	f := newPartsBoard(t, 1, WithPlaced(func(p PlacementReport) { told = append(told, p) }))
 	f.b.pools["e"].compiled.CacheReaders = 1
-	f.ask(f.request("a", Part{"little", placedLeast - 1}))
+	f.place(f.request("a", Part{"little", minReportedPrefill - 1}))
 	require.Empty(t, told)
-	f.ask(f.request("a", append(shared, own)...))
+	f.place(f.request("a", append(shared, own)...))
 	require.Len(t, told, 1)
 	require.Equal(t, 2, told[0].Load.InFlight)
 	require.Equal(t, f.b.targets[testAddr(0)].prefill, told[0].Load.Prefill)
@@ -27,19 +27,19 @@
 	f := newPartsBoard(t, engines)
 	f.b.pools["e"].compiled.CacheReaders = 1
 	for i := range engines {
-		f.holds(testAddr(i), "any")
+		f.reportParts(testAddr(i), "any")
 	}
 	return f
 }
 
-// aimed is a request that is to be answered in time.
-func (p *partsBoard) aimed(aim time.Duration, parts ...Part) Request {
+// requestWithAim is a request that is to be answered in time.
+func (p *partsBoard) requestWithAim(aim time.Duration, parts ...Part) Request {
 	r := p.request("a", parts...)
 	r.Aim = aim
 	return r
 }
 
-func (p *partsBoard) sent(actions []Action) []string {
+func (p *partsBoard) sentTargets(actions []Action) []string {
 	var out []string
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -49,32 +49,32 @@
 	return out
 }
 
-// TestAwaitsReading checks that a request waits while what it shares is read for
+// TestAwaitsPendingFill checks that a request waits while what it shares is read for
 // another one, and goes as soon as that is done.
-func TestAwaitsReading(t *testing.T) {
+func TestAwaitsPendingFill(t *testing.T) {
 	f := newFillBoard(t, 3)
-	first := f.ask(f.aimed(time.Second, append(shared, own)...))
-	second := f.aimed(time.Second, append(shared, Part{"own2", 500})...)
-	require.Nil(t, f.ask(second))
-	other := f.ask(f.aimed(time.Second, Part{"cc", 3000}, Part{"own3", 500}))
+	first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
+	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
+	require.Nil(t, f.place(second))
+	other := f.place(f.requestWithAim(time.Second, Part{"cc", 3000}, Part{"own3", 500}))
 	require.NotNil(t, other, "one that shares nothing with it does not wait")
 	f.now = f.now.Add(40 * time.Millisecond)
-	require.Empty(t, f.sent(f.b.Tick(f.now)))
+	require.Empty(t, f.sentTargets(f.b.Tick(f.now)))
 	f.now = f.now.Add(60 * time.Millisecond)
-	require.Equal(t, []string{second.ID}, f.sent(f.b.FirstToken(f.now, first.Request, first.ID)))
+	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.FirstToken(f.now, first.Request, first.ID)))
 }
 
-// TestAwaitsInTime checks that a request does not wait for what is read for
+// TestAwaitsPendingFillWithinAim checks that a request does not wait for what is read for
 // another one if only reading it again lets it be in time.
-func TestAwaitsInTime(t *testing.T) {
+func TestAwaitsPendingFillWithinAim(t *testing.T) {
 	f := newFillBoard(t, 3)
-	f.ask(f.aimed(time.Second, append(shared, Part{"long", 10_000})...))
-	require.NotNil(t, f.ask(f.aimed(200*time.Millisecond, append(shared, own)...)))
+	f.place(f.requestWithAim(time.Second, append(shared, Part{"long", 10_000})...))
+	require.NotNil(t, f.place(f.requestWithAim(200*time.Millisecond, append(shared, own)...)))
 }
 
-// TestAwaitsOverdue checks that a request does not wait for a reading that takes
+// TestAwaitsOverdueFill checks that a request does not wait for a reading that takes
 // over twice as long as was predicted, nor for one that has failed.
-func TestAwaitsOverdue(t *testing.T) {
+func TestAwaitsOverdueFill(t *testing.T) {
 	cases := map[string]func(f *partsBoard, first *Attempt) []Action{
 		"overdue": func(f *partsBoard, _ *Attempt) []Action {
 			f.now = f.now.Add(400 * time.Millisecond)
@@ -87,39 +87,39 @@
 	for name, then := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFillBoard(t, 3)
-			first := f.ask(f.aimed(time.Second, append(shared, own)...))
-			second := f.aimed(time.Second, append(shared, Part{"own2", 500})...)
-			require.Nil(t, f.ask(second))
-			require.Contains(t, f.sent(then(f, first)), second.ID)
+			first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
+			second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
+			require.Nil(t, f.place(second))
+			require.Contains(t, f.sentTargets(then(f, first)), second.ID)
 		})
 	}
 }
 
-// TestAwaitsPeers checks that a request waits for what a peer's request has read,
+// TestAwaitsPeerFill checks that a request waits for what a peer's request has read,
 // until that is taken to be done.
-func TestAwaitsPeers(t *testing.T) {
+func TestAwaitsPeerFill(t *testing.T) {
 	f, peer := newFillBoard(t, 3), newFillBoard(t, 3)
-	var told []Placed
-	WithPlaced(func(p Placed) { told = append(told, p) })(peer.b)
-	peer.ask(peer.aimed(time.Second, append(shared, own)...))
-	f.b.Filled(f.now, told[0].Fills)
-	second := f.aimed(time.Second, append(shared, Part{"own2", 500})...)
-	require.Nil(t, f.ask(second))
+	var told []PlacementReport
+	WithPlaced(func(p PlacementReport) { told = append(told, p) })(peer.b)
+	peer.place(peer.requestWithAim(time.Second, append(shared, own)...))
+	f.b.MergeFills(f.now, told[0].Fills)
+	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
+	require.Nil(t, f.place(second))
 	f.now = f.now.Add(told[0].Fills[0].Left + time.Millisecond)
-	require.Equal(t, []string{second.ID}, f.sent(f.b.Tick(f.now)))
+	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.Tick(f.now)))
 	f.b.Peers(f.now, nil, 1)
-	require.Empty(t, f.b.filling, "what is over is forgotten")
+	require.Empty(t, f.b.pendingFills, "what is over is forgotten")
 }
 
-// TestAwaitsGone checks that nothing is sent of a request whose caller left while it
+// TestAwaitsCanceledFill checks that nothing is sent of a request whose caller left while it
 // waited for what is being read.
-func TestAwaitsGone(t *testing.T) {
+func TestAwaitsCanceledFill(t *testing.T) {
 	f := newFillBoard(t, 3)
-	first := f.ask(f.aimed(time.Second, append(shared, own)...))
-	second := f.aimed(time.Second, append(shared, Part{"own2", 500})...)
-	require.Nil(t, f.ask(second))
-	require.Empty(t, f.sent(f.b.Gone(f.now, second.ID)))
+	first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
+	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
+	require.Nil(t, f.place(second))
+	require.Empty(t, f.sentTargets(f.b.CallerGone(f.now, second.ID)))
 	f.now = f.now.Add(100 * time.Millisecond)
-	require.Empty(t, f.sent(f.b.FirstToken(f.now, first.Request, first.ID)))
-	require.Empty(t, f.sent(f.b.Tick(f.now)))
+	require.Empty(t, f.sentTargets(f.b.FirstToken(f.now, first.Request, first.ID)))
+	require.Empty(t, f.sentTargets(f.b.Tick(f.now)))
 }
--- a/route/queue.go
+++ b/route/queue.go
@@ -128,7 +128,7 @@
 func (o *orgQueue) waiting() float64 {
 	cost := o.cost
 	for _, r := range o.items {
-		if r.held {
+		if r.awaitingFill {
 			cost -= r.cost
 		}
 	}
--- a/route/recent_test.go
+++ b/route/recent_test.go
@@ -26,24 +26,24 @@
 // a prompt places it as if it had sent the last one itself.
 func TestHolders(t *testing.T) {
 	home, f := newFillBoard(t, 4), newFillBoard(t, 4)
-	var told []Placed
-	WithPlaced(func(p Placed) { told = append(told, p) })(home.b)
-	first := home.ask(home.aimed(time.Second, append(shared, own)...))
-	second := f.aimed(time.Second, append(shared, Part{"own2", 500})...)
-	number, blocks, ok := f.b.HoldersAsked(second)
+	var told []PlacementReport
+	WithPlaced(func(p PlacementReport) { told = append(told, p) })(home.b)
+	first := home.place(home.requestWithAim(time.Second, append(shared, own)...))
+	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
+	number, blocks, ok := f.b.HolderQuery(second)
 	require.True(t, ok)
 	require.Equal(t, told[0].Home, number, "both find the same home")
 	fills := home.b.Holders(home.now, blocks)
 	require.Len(t, fills, len(shared))
-	f.b.Filled(f.now, fills)
-	require.Nil(t, f.ask(second), "it is still being read")
+	f.b.MergeFills(f.now, fills)
+	require.Nil(t, f.place(second), "it is still being read")
 	home.now = home.now.Add(150 * time.Millisecond)
 	home.b.FirstToken(home.now, first.Request, first.ID)
 	fills = home.b.Holders(home.now, blocks)
 	require.Zero(t, fills[0].Left)
 	other := newFillBoard(t, 4)
-	other.b.Filled(other.now, fills)
-	a := other.ask(other.aimed(time.Second, append(shared, Part{"own3", 500})...))
+	other.b.MergeFills(other.now, fills)
+	a := other.place(other.requestWithAim(time.Second, append(shared, Part{"own3", 500})...))
 	require.NotNil(t, a)
 	require.Equal(t, first.Target, a.Target)
 	require.Empty(t, home.b.Holders(home.now.Add(time.Minute), blocks), "it may be gone by then")
@@ -54,11 +54,11 @@
 	f := newPartsBoard(t, 1)
 	cases := map[string][]Part{
 		"its own part alone": {own},
-		"a short part":       {{"short", placedLeast - 1}, own},
+		"a short part":       {{"short", minReportedPrefill - 1}, own},
 	}
 	for name, parts := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, _, ok := f.b.HoldersAsked(f.request("a", parts...))
+			_, _, ok := f.b.HolderQuery(f.request("a", parts...))
 			require.False(t, ok)
 		})
 	}
--- a/route/request.go
+++ b/route/request.go
@@ -241,10 +241,10 @@
 	Request
 	arrived time.Time
 	// notBefore holds a retry back.
-	notBefore time.Time
-	queuedTo  time.Time
-	cost      float64
-	charged   bool
+	notBefore     time.Time
+	queueDeadline time.Time
+	cost          float64
+	charged       bool
 	// estimated says that the limits were charged by the prompt and the bound of the answer.
 	estimated bool
 	seq       int64
@@ -261,11 +261,11 @@
 	chains    map[string]*chain
 	homes     homes
 	// held says that the request waits for what is being read, and not for room.
-	held bool
+	awaitingFill bool
 	// anew is set while the request is placed without what is still being read.
-	anew bool
+	ignorePendingFills bool
 	// draw is a number from 0 to 1 by which requests take different ways.
-	draw float64
+	sample float64
 	// recruited says that targets were taken from the reserve for it.
 	recruited bool
 	// side is the side of a roll-out on which the request is being placed.
@@ -278,12 +278,12 @@
 	blocks []Block
 	// bounds are the blocks at which messages end, levels those and the noted
 	// ones, in rising order.
-	bounds []int
-	levels []int
+	messageEnds   []int
+	trackedBlocks []int
 	// tokens is the length of the prompt up to the end of each block.
 	tokens []int
 	// keys name the parts, where the prompt is a chain of named ones.
-	keys []partKey
+	partKeys []partKey
 }
 
 // newPartsChain chains named parts, each of which is a block of its own length.
@@ -296,9 +296,9 @@
 		total += p.Tokens
 		c.blocks = append(c.blocks, Block(head))
 		c.tokens = append(c.tokens, total)
-		c.keys = append(c.keys, keyOfPart(salt, p.ID))
-		c.bounds = append(c.bounds, i)
-		c.levels = append(c.levels, i)
+		c.partKeys = append(c.partKeys, keyOfPart(salt, p.ID))
+		c.messageEnds = append(c.messageEnds, i)
+		c.trackedBlocks = append(c.trackedBlocks, i)
 	}
 	return c
 }
@@ -307,14 +307,14 @@
 	c := &chain{salt: salt, blocks: Chain(salt, text, BlockBytes, ChainEvery)}
 	for _, end := range ends {
 		if n := end / (BlockBytes * ChainEvery); n > 0 && n <= len(c.blocks) {
-			c.bounds = append(c.bounds, n-1)
+			c.messageEnds = append(c.messageEnds, n-1)
 		}
 	}
 	c.tokens = make([]int, len(c.blocks))
 	for i := range c.blocks {
 		c.tokens[i] = (i + 1) * chainTokens
-		if noted(i) || slices.Contains(c.bounds, i) {
-			c.levels = append(c.levels, i)
+		if tracked(i) || slices.Contains(c.messageEnds, i) {
+			c.trackedBlocks = append(c.trackedBlocks, i)
 		}
 	}
 	return c
@@ -363,9 +363,9 @@
 	// heldTokens and heldAge are what the target was believed to hold and how old that belief was.
 	heldTokens int
 	heldAge    time.Duration
-	// first is true once the answer has begun, which was at firstAt.
-	first   bool
-	firstAt time.Time
+	// first is true once the answer has begun, which was at firstTokenAt.
+	firstToken   bool
+	firstTokenAt time.Time
 	// fills are the readings that the attempt began.
 	fills   []fillKey
 	fetched bool
--- a/route/reserve.go
+++ b/route/reserve.go
@@ -54,12 +54,12 @@
 	}
 	r.recruited = true
 	var picks []*Entry
-	if r.homes.size > 0 {
+	if r.homes.setSize > 0 {
 		picks = b.reserve.Best(p.compiled.Name, rendezvousTop, func(hash uint64) uint64 { return r.homes.rank(n, hash) })
 	}
 	if more := recruitLeast - len(p.members); more > 0 {
 		draw := b.rng.Uint64()
-		picks = append(picks, b.reserve.Best(p.compiled.Name, more, func(hash uint64) uint64 { return mix(draw ^ hash) })...)
+		picks = append(picks, b.reserve.Best(p.compiled.Name, more, func(hash uint64) uint64 { return mixHash(draw ^ hash) })...)
 	}
 	return b.join(now, picks)
 }
--- a/route/retry.go
+++ b/route/retry.go
@@ -22,23 +22,23 @@
 // for all routers; a pool that has seen no request yet starts with it.
 const defaultRetryReserve = 10
 
-// The parts of a stated bound that a router uses. ratioPart leaves room for requests
-// that the installation counts elsewhere than here, reservePart for what the last
+// The parts of a stated bound that a router uses. ratioFraction leaves room for requests
+// that the installation counts elsewhere than here, reserveFraction for what the last
 // process of the same router spent, which this one does not know. A router's part of a
 // large fleet's reserve may be below one: each rounds up by a part that it draws at
 // its start, so that all together spend what they may.
 //
-// Until it has counted for a window a router uses only startPart of its part of the
-// reserve, and before meetPart of a window nothing, since it may not know yet how many
+// Until it has counted for a window a router uses only startupFraction of its part of the
+// reserve, and before minCountingFraction of a window nothing, since it may not know yet how many
 // share it; one whose settings name no other, and that heard of none, is alone. So at
-// most 1/meetPart starts of a router spend startPart in one window, which is what
-// reservePart leaves, however often it is started anew. One that is alone may break
+// most 1/minCountingFraction starts of a router spend startupFraction in one window, which is what
+// reserveFraction leaves, however often it is started anew. One that is alone may break
 // that with more starts.
 const (
-	reservePart = 0.65
-	meetPart    = 0.25
-	startPart   = (1 - reservePart) * meetPart
-	ratioPart   = 0.8
+	reserveFraction     = 0.65
+	minCountingFraction = 0.25
+	startupFraction     = (1 - reserveFraction) * minCountingFraction
+	ratioFraction       = 0.8
 )
 
 func newRetryBudget(now time.Time) retryBudget {
@@ -66,12 +66,12 @@
 	part := 0.0
 	switch age := now.Sub(k.begun); {
 	case age >= over:
-		part = reservePart
-	case b.alone && b.crowd.most == 1, float64(age) >= meetPart*float64(over):
-		part = startPart
+		part = reserveFraction
+	case b.soleRouter && b.recentRouters.value == 1, float64(age) >= minCountingFraction*float64(over):
+		part = startupFraction
 	}
-	most := ratioPart*q.RetryBudget*float64(k.sent.count(now, over)) + part*q.RetryReserve/float64(b.crowd.most)
-	if float64(k.spent.count(now, over)+1) > most+b.rounding {
+	most := ratioFraction*q.RetryBudget*float64(k.sent.count(now, over)) + part*q.RetryReserve/float64(b.recentRouters.value)
+	if float64(k.spent.count(now, over)+1) > most+b.reserveRounding {
 		return false
 	}
 	k.spent.add(now, over)
@@ -84,30 +84,30 @@
 	return o.Kind == OutcomeUnsent && b.snap.Config.Requests.RetryReserve > 0
 }
 
-// crowd is how many routers there were. Fewer count only once no more were seen for
+// windowedMax is how many routers there were. Fewer count only once no more were seen for
 // a window: those that are gone may have spent their part in it, and a router that
 // was frozen or cut off has forgotten for a moment who else lives.
-type crowd struct {
-	most int
+type windowedMax struct {
+	value int
 	// fewer is the most that were seen since a time, all below most; zero if none were.
-	fewer int
+	lower int
 	since time.Time
 }
 
-// Crowd returns how many routers there were lately, this one among them.
-func (b *Board) Crowd() int { return b.crowd.most }
+// RecentRouters returns how many routers there were lately, this one among them.
+func (b *Board) RecentRouters() int { return b.recentRouters.value }
 
-// see takes the number of routers known at a time.
-func (c *crowd) see(now time.Time, n int, over time.Duration) {
+// observe takes the number of routers known at a time.
+func (c *windowedMax) observe(now time.Time, n int, over time.Duration) {
 	switch {
-	case n >= c.most:
-		c.most, c.fewer = n, 0
-	case c.fewer == 0:
-		c.fewer, c.since = n, now
+	case n >= c.value:
+		c.value, c.lower = n, 0
+	case c.lower == 0:
+		c.lower, c.since = n, now
 	case now.Sub(c.since) >= over:
-		c.most, c.fewer = max(c.fewer, n), 0
+		c.value, c.lower = max(c.lower, n), 0
 	default:
-		c.fewer = max(c.fewer, n)
+		c.lower = max(c.lower, n)
 	}
 }
 
--- a/route/retry_restart_test.go
+++ b/route/retry_restart_test.go
@@ -9,7 +9,7 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// The fleet of [retryWorld] and the bound that its configuration states.
+// The fleet of [retrySim] and the bound that its configuration states.
 const (
 	retryRouters = 6
 	// retrySeeds is how many routers the settings of each one name.
@@ -26,8 +26,8 @@
 	lostTime = 2500 * time.Millisecond
 )
 
-// retryWorld is a fleet whose routers repeat as often as they may.
-type retryWorld struct {
+// retrySim is a fleet whose routers repeat as often as they may.
+type retrySim struct {
 	now    time.Time
 	boards []*Board
 	// upAt is when each router started or woke last; it is zero while the router is down,
@@ -38,8 +38,8 @@
 	first, again []int
 }
 
-func newRetryWorld() *retryWorld {
-	w := &retryWorld{
+func newRetrySim() *retrySim {
+	w := &retrySim{
 		now: epoch, boards: make([]*Board, retryRouters),
 		upAt: make([]time.Time, retryRouters), goneAt: make([]time.Time, retryRouters),
 	}
@@ -50,7 +50,7 @@
 }
 
 // start starts a router with nothing of what its last process knew.
-func (w *retryWorld) start(i int) {
+func (w *retrySim) start(i int) {
 	b := NewBoard(WithSeed(uint64(len(w.first)*retryRouters+i)), WithRouters(retrySeeds))
 	cfg := &policy.Config{Version: policy.Version, Requests: policy.Requests{
 		RetryBudget: retryRatio, RetryReserve: retryReserve, RetryWindow: policy.Duration(retryWindow),
@@ -61,23 +61,23 @@
 	}
 	b.Adopt(w.now, snap)
 	w.boards[i] = b
-	w.wake(i)
+	w.resume(i)
 }
 
-// wake lets a router go on that was frozen.
-func (w *retryWorld) wake(i int) { w.upAt[i], w.goneAt[i] = w.now, time.Time{} }
+// resume lets a router go on that was frozen.
+func (w *retrySim) resume(i int) { w.upAt[i], w.goneAt[i] = w.now, time.Time{} }
 
 // stop ends or freezes a router.
-func (w *retryWorld) stop(i int) { w.upAt[i], w.goneAt[i] = time.Time{}, w.now }
+func (w *retrySim) stop(i int) { w.upAt[i], w.goneAt[i] = time.Time{}, w.now }
 
-func (w *retryWorld) all(do func(i int)) {
+func (w *retrySim) all(do func(i int)) {
 	for i := range retryRouters {
 		do(i)
 	}
 }
 
-// heard is how many routers one knows of, itself included.
-func (w *retryWorld) heard(i int) int {
+// visiblePeers is how many routers one knows of, itself included.
+func (w *retrySim) visiblePeers(i int) int {
 	if w.now.Sub(w.upAt[i]) < meetTime {
 		return retrySeeds
 	}
@@ -90,8 +90,8 @@
 	return max(n, retrySeeds)
 }
 
-// play lets time pass: every router that runs gets its requests and repeats as much as it may.
-func (w *retryWorld) play(d time.Duration) {
+// run lets time pass: every router that runs gets its requests and repeats as much as it may.
+func (w *retrySim) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(retryStep) {
 		first, again := 0, 0
 		for i, b := range w.boards {
@@ -99,7 +99,7 @@
 				continue
 			}
 			if w.now.Sub(w.upAt[i]) >= 5*retryStep {
-				b.Peers(w.now, nil, w.heard(i))
+				b.Peers(w.now, nil, w.visiblePeers(i))
 			}
 			if len(w.first)%int(time.Second/retryStep/retryRate) == i {
 				b.earnRetry(w.now, &b.pools["s"].retries)
@@ -114,7 +114,7 @@
 }
 
 // sum counts over one window that begins at a step.
-func (w *retryWorld) sum(counts []int, from int) int {
+func (w *retrySim) sum(counts []int, from int) int {
 	steps, n := int(retryWindow/retryStep), 0
 	for i := max(0, from); i < min(len(counts), from+steps); i++ {
 		n += counts[i]
@@ -125,7 +125,7 @@
 // worst returns the window whose repeats are the most above the bound, or the least
 // below it: its repeats and the bound, by the requests of that window, of the one
 // before and of the one half a window before, whichever has most.
-func (w *retryWorld) worst() (repeats int, bound float64) {
+func (w *retrySim) worst() (repeats int, bound float64) {
 	steps := int(retryWindow / retryStep)
 	bound = 1e9
 	for from := range w.again {
@@ -141,74 +141,74 @@
 // Over any window the repeats of all routers stay within the bound, whichever
 // routers are started anew, freeze or are lost, and however often.
 func TestRetryBoundRestarts(t *testing.T) {
-	cases := map[string]func(w *retryWorld){
-		"nobody restarts": func(w *retryWorld) { w.play(2 * retryWindow) },
-		"all once": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+	cases := map[string]func(w *retrySim){
+		"nobody restarts": func(w *retrySim) { w.run(2 * retryWindow) },
+		"all once": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			w.all(w.start)
-			w.play(retryWindow)
+			w.run(retryWindow)
 		},
-		"all twice in one window": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"all twice in one window": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			for range 2 {
 				w.all(w.start)
-				w.play(retryWindow / 3)
+				w.run(retryWindow / 3)
 			}
-			w.play(retryWindow)
+			w.run(retryWindow)
 		},
-		"all again and again": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"all again and again": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			for range 8 {
 				w.all(w.start)
-				w.play(retryWindow / 5)
+				w.run(retryWindow / 5)
 			}
-			w.play(retryWindow)
+			w.run(retryWindow)
 		},
-		"all right after they met": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"all right after they met": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			for range 8 {
 				w.all(w.start)
-				w.play(retryWindow/4 + 2*retryStep)
+				w.run(retryWindow/4 + 2*retryStep)
 			}
-			w.play(retryWindow)
+			w.run(retryWindow)
 		},
-		"in turn": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"in turn": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			for n := range 4 * retryRouters {
 				w.start(n % retryRouters)
-				w.play(time.Second)
+				w.run(time.Second)
 			}
-			w.play(retryWindow)
+			w.run(retryWindow)
 		},
-		"all frozen for longer than peers are known": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"all frozen for longer than peers are known": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			w.all(w.stop)
-			w.play(lostTime + time.Second)
-			w.all(w.wake)
-			w.play(retryWindow)
+			w.run(lostTime + time.Second)
+			w.all(w.resume)
+			w.run(retryWindow)
 		},
-		"all but one are lost": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"all but one are lost": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			for i := range retryRouters - 1 {
 				w.stop(i)
 			}
-			w.play(2 * retryWindow)
+			w.run(2 * retryWindow)
 		},
-		"all but one are lost and come back": func(w *retryWorld) {
-			w.play(retryWindow + time.Second)
+		"all but one are lost and come back": func(w *retrySim) {
+			w.run(retryWindow + time.Second)
 			for i := range retryRouters - 1 {
 				w.stop(i)
 			}
-			w.play(lostTime + time.Second)
+			w.run(lostTime + time.Second)
 			for i := range retryRouters - 1 {
 				w.start(i)
 			}
-			w.play(2 * retryWindow)
+			w.run(2 * retryWindow)
 		},
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newRetryWorld()
+			w := newRetrySim()
 			play(w)
 			repeats, bound := w.worst()
 			t.Logf("%d repeats where %.0f may be", repeats, bound)
@@ -219,13 +219,13 @@
 
 // A router that is alone by its settings repeats from its start, as if it had lived
 // for a while, and stays within the bound over four starts in one window.
-func TestRetryBoundAlone(t *testing.T) {
+func TestRetryBoundSoleRouter(t *testing.T) {
 	const starts = 4
 	now := epoch
 	spent := 0
 	for start := range starts + 1 {
-		b := boundBoard(1)
-		b.alone = true
+		b := newRetryBoard(1)
+		b.soleRouter = true
 		k := newRetryBudget(now)
 		if start == 0 {
 			k = newRetryBudget(now.Add(-time.Minute))
--- a/route/retry_test.go
+++ b/route/retry_test.go
@@ -9,13 +9,13 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// boundBoard is the board of a router whose configuration states a bound on repeats.
-func boundBoard(routers int) *Board {
+// newRetryBoard is the board of a router whose configuration states a bound on repeats.
+func newRetryBoard(routers int) *Board {
 	b := NewBoard()
 	b.snap = &policy.Snapshot{Config: &policy.Config{Requests: policy.Requests{
 		RetryBudget: 0.2, RetryReserve: 50, RetryWindow: policy.Duration(10 * time.Second),
 	}}}
-	b.crowd.most = routers
+	b.recentRouters.value = routers
 	return b
 }
 
@@ -24,7 +24,7 @@
 func TestRetryBound(t *testing.T) {
 	const routers = 5
 	now := time.Unix(1000, 0)
-	b := boundBoard(routers)
+	b := newRetryBoard(routers)
 	spend := func(k *retryBudget) (n int) {
 		for b.spendRetry(now, k) {
 			n++
@@ -34,7 +34,7 @@
 	k := newRetryBudget(now.Add(-time.Minute))
 	b.earnRetry(now, &k)
 	before := spend(&k)
-	b = boundBoard(routers)
+	b = newRetryBoard(routers)
 	restarted := newRetryBudget(now)
 	b.earnRetry(now, &restarted)
 	require.LessOrEqual(t, before+spend(&restarted), 50/routers+1)
@@ -100,14 +100,14 @@
 
 // Fewer routers count once no more were seen for a window, not before: those that are
 // gone may have spent their part in it.
-func TestCrowd(t *testing.T) {
+func TestWindowedMax(t *testing.T) {
 	const window = 10 * time.Second
 	now := time.Unix(1000, 0)
-	c := crowd{most: 1}
+	c := windowedMax{value: 1}
 	see := func(after time.Duration, n int) int {
 		now = now.Add(after)
-		c.see(now, n, window)
-		return c.most
+		c.observe(now, n, window)
+		return c.value
 	}
 	require.Equal(t, 8, see(0, 8))
 	require.Equal(t, 8, see(time.Second, 3), "five fell silent")
@@ -127,7 +127,7 @@
 	total := 0
 	for i := range routers {
 		b := NewBoard(WithSeed(uint64(i)))
-		b.snap, b.crowd.most = boundBoard(1).snap, routers
+		b.snap, b.recentRouters.value = newRetryBoard(1).snap, routers
 		k := newRetryBudget(now.Add(-time.Minute))
 		for b.spendRetry(now, &k) {
 			total++
--- a/route/rollout.go
+++ b/route/rollout.go
@@ -142,7 +142,7 @@
 }
 
 func (b *Board) noteRollout(ro *rollout, why string) {
-	b.note(event.Event{Code: event.RolloutPhase, Detail: ro.order.Pool + " to release " + ro.order.Release + ", " + ro.phase.String() + ": " + why})
+	b.emit(event.Event{Code: event.RolloutPhase, Detail: ro.order.Pool + " to release " + ro.order.Release + ", " + ro.phase.String() + ": " + why})
 }
 
 // Rollouts returns what this router knows of roll-outs, its own counts alone, in the order of the pools.
@@ -240,7 +240,7 @@
 			return o, RolloutMoving, ro.judge.String()
 		case ro.phase == RolloutTrial && age(unknownPart):
 			return o, RolloutRolledBack, "too little is known of it: " + ro.judge.String()
-		case ro.phase == RolloutMoving && now.Sub(ro.movedAt) >= ro.part(rampPart+fullPart) && b.hasMoved(now, ro) && 1+ro.peersMoved >= b.sharers.most:
+		case ro.phase == RolloutMoving && now.Sub(ro.movedAt) >= ro.part(rampPart+fullPart) && b.hasMoved(now, ro) && 1+ro.peersMoved >= b.limitSharers.value:
 			return o, RolloutCompleted, "all routers have moved"
 		case ro.phase == RolloutMoving && age(completePart):
 			return o, RolloutCompleted, "its time is nearly over"
@@ -279,7 +279,7 @@
 			return oldSide
 		case ramp >= 1:
 			return newSide
-		case r.draw < ramp && len(r.tried) == 0:
+		case r.sample < ramp && len(r.tried) == 0:
 			return exposedSides
 		}
 		return b.trialSides(ro, r)
@@ -373,7 +373,7 @@
 	if ro.phase == RolloutMoving {
 		part = max(part, ro.ramp(now))
 	}
-	chosen := func(t *target) bool { return float64(mix(t.hash^uint64(ro.order.Revision))>>11)/(1<<53) < part }
+	chosen := func(t *target) bool { return float64(mixHash(t.hash^uint64(ro.order.Revision))>>11)/(1<<53) < part }
 	if chosen(t) {
 		return true
 	}
@@ -413,8 +413,8 @@
 		return
 	}
 	took := now.Sub(a.sent)
-	if a.first {
-		took = a.firstAt.Sub(a.sent)
+	if a.firstToken {
+		took = a.firstTokenAt.Sub(a.sent)
 	}
 	least := time.Millisecond
 	if r.Model != nil {
--- a/route/said.go
+++ b/route/said.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if !t.rests(now) {
-		b.note(event.Event{Code: event.TargetRests, Target: t.name(), Detail: "for " + rest.String()})
+		b.emit(event.Event{Code: event.TargetRests, Target: t.name(), Detail: "for " + rest.String()})
 	}
 	t.restsTo = until
 	if until.After(b.restsTo) {
@@ -120,7 +120,7 @@
 // restRefusal refuses a request at once that no target of its pool takes before its time is over.
 func (b *Board) restRefusal(now time.Time, p *pool, r *request) *Refusal {
 	over := b.restOver(now, p)
-	if over <= b.queueTime(r) {
+	if over <= b.maxQueueTime(r) {
 		return nil
 	}
 	return &Refusal{
--- a/route/servers.go
+++ b/route/servers.go
@@ -68,7 +68,7 @@
 	c := r.chain(list[0].weights)
 	b.holdersOf(c)
 	b.markHolders(c)
-	anchor := uint64(b.beliefs.anchor(c))
+	anchor := uint64(b.prefixes.affinityBlock(c))
 	var top [rendezvousTop]server
 	var ranks [rendezvousTop]uint64
 	for _, s := range list {
@@ -76,8 +76,8 @@
 			cs = append(cs, candidate{target: s.target, weights: s.weights, chain: r.chain(s.weights)})
 			continue
 		}
-		rank := mix(anchor ^ s.target.hash)
-		if r.homes.size > 0 {
+		rank := mixHash(anchor ^ s.target.hash)
+		if r.homes.setSize > 0 {
 			rank = r.homes.rank(n, s.target.hash)
 		}
 		for i := range top {
@@ -88,7 +88,7 @@
 		}
 	}
 	picks := top[:]
-	for range randomMore {
+	for range randomExtra {
 		picks = append(picks, list[b.rng.IntN(len(list))])
 	}
 	for _, s := range picks {
@@ -103,8 +103,8 @@
 // holdersOf marks, for this round, the holders of the deepest known blocks.
 func (b *Board) holdersOf(c *chain) {
 	levels := 0
-	for l := b.beliefs.deepest(c); l >= 0 && levels < holdersPerBlock; l-- {
-		e := b.beliefs.blocks.get(c.blocks[c.levels[l]])
+	for l := b.prefixes.deepest(c); l >= 0 && levels < holdersPerBlock; l-- {
+		e := b.prefixes.blocks.get(c.blocks[c.trackedBlocks[l]])
 		if e == nil {
 			continue
 		}
--- a/route/shared.go
+++ b/route/shared.go
@@ -14,7 +14,7 @@
 // no use to any other request, and there are many more of them. A part is known
 // to be shared by its id alone: new weights change what it is kept under.
 type sharedParts struct {
-	ids *generations[partID, sharedPart]
+	ids *generationalMap[partID, sharedPart]
 	// fresh are those that this router saw first itself or tells for another, in the
 	// order in which it did; dropped is how many came before them.
 	fresh   []freshPart
@@ -63,7 +63,7 @@
 
 func newSharedParts() sharedParts {
 	return sharedParts{
-		ids:  newGenerations[partID, sharedPart](sharedKept),
+		ids:  newGenerationalMap[partID, sharedPart](sharedKept),
 		feed: NewFeed[heldPart](func(a, b int) bool { return a == b }),
 
 		counted: make(map[partKey]bool),
@@ -75,7 +75,7 @@
 
 // named notes that an event named a part, and reports whether the part is shared.
 func (s *sharedParts) named(id string, key partKey) bool {
-	p := s.ids.use(idOfPart(id))
+	p := s.ids.getOrCreate(idOfPart(id))
 	if !slices.Contains(p.keys, key) {
 		p.keys = append(p.keys, key)
 		p.keys = p.keys[max(0, len(p.keys)-keysKept):]
@@ -98,7 +98,7 @@
 // share notes that parts of an id are shared, and who holds them. It reports
 // whether that is new.
 func (b *Board) share(id partID) bool {
-	p := b.shared.ids.use(id)
+	p := b.shared.ids.getOrCreate(id)
 	if p.shared {
 		return false
 	}
@@ -116,7 +116,7 @@
 func (b *Board) markShared(key partKey) {
 	if !b.shared.has(key) {
 		b.shared.counted[key] = true
-		b.countOnly(key, 1)
+		b.adjustSoleTokens(key, 1)
 	}
 }
 
@@ -233,7 +233,7 @@
 
 // TakeParts takes the news of another router that reads the targets' events.
 func (b *Board) TakeParts(now time.Time, news PartsNews) {
-	if b.off.Has(CacheEvents) {
+	if b.disabled.Has(CacheEvents) {
 		return
 	}
 	unread := make(map[netip.AddrPort]bool, len(news.Unread))
--- a/route/shared_test.go
+++ b/route/shared_test.go
@@ -15,10 +15,10 @@
 	r := other.request("a", append(shared, own)...)
 	salt := r.Salt("1").String()
 	for i := range 3 {
-		reader.holds(testAddr(i), salt)
+		reader.reportParts(testAddr(i), salt)
 	}
-	reader.holds(testAddr(1), salt, append(shared, own)...)
-	other.done(other.ask(r))
+	reader.reportParts(testAddr(1), salt, append(shared, own)...)
+	other.finish(other.place(r))
 	told := other.b.State(other.now)
 	require.Len(t, told.Shared, len(shared))
 	require.Empty(t, other.b.State(other.now.Add(2*freshTold)).Shared, "all have heard of it")
@@ -31,16 +31,16 @@
 	require.Len(t, news.Targets[0].Keys, len(shared))
 	other.now = other.now.Add(time.Minute)
 	other.b.TakeParts(other.now, news)
-	a := other.ask(other.request("a", append(shared, Part{"own2", 500})...))
+	a := other.place(other.request("a", append(shared, Part{"own2", 500})...))
 	require.Equal(t, testAddr(1), a.Target, a.Reason)
-	other.done(a)
+	other.finish(a)
 
 	// What the engine drops is told too, and so is an engine that nobody reads any more.
-	reader.holds(testAddr(1), salt, Part{shared[1].ID, 0})
+	reader.reportParts(testAddr(1), salt, Part{shared[1].ID, 0})
 	news = reader.b.PartsSince(reader.now, news.Next)
 	require.Equal(t, []int{0}, news.Targets[0].Tokens)
 	other.b.TakeParts(other.now, news)
-	require.Equal(t, shared[0].Tokens, other.b.targets[testAddr(1)].parts.leading(newPartsChain(salt, shared)))
+	require.Equal(t, shared[0].Tokens, other.b.targets[testAddr(1)].parts.leadingTokens(newPartsChain(salt, shared)))
 	news.Unread = append(news.Unread, testAddr(1))
 	other.b.TakeParts(other.now, news)
 	require.False(t, other.b.targets[testAddr(1)].parts.known(other.now))
@@ -65,9 +65,9 @@
 	placed := func(last string) map[string]int {
 		places := make(map[string]int)
 		for range 60 {
-			a := p.ask(p.request("a", shared[0], Part{last, 4000}, own))
+			a := p.place(p.request("a", shared[0], Part{last, 4000}, own))
 			places[a.Target.String()]++
-			p.done(a)
+			p.finish(a)
 			p.now = p.now.Add(time.Second)
 		}
 		return places
@@ -76,7 +76,7 @@
 	r := p.request("a", shared[0], Part{"hot", 4000}, own)
 	told := newHotParts()
 	require.Positive(t, told.count(p.now, Block(xxh3.HashStringSeed("hot", xxh3.HashString(r.Salt("").String())))))
-	state := PeerState{Hot: told.told(p.now)}
+	state := PeerState{Hot: told.report(p.now)}
 	require.Len(t, state.Hot, 1)
 	state.Hot[0].Rate = 60
 	p.b.Peers(p.now, map[string]PeerState{"peer": state}, 2)
@@ -92,26 +92,26 @@
 	salt := r.Salt("1").String()
 	kept := append([]Part{{"k1", 9000}, {"k2", 9000}, {"k3", 9000}}, shared...)
 	p.b.Peers(p.now, map[string]PeerState{"peer": {Shared: sharedIDs(kept)}}, 2)
-	p.holds(testAddr(0), salt, kept...)
-	p.holds(testAddr(1), salt)
-	require.Equal(t, 33000, p.b.targets[testAddr(0)].parts.only)
+	p.reportParts(testAddr(0), salt, kept...)
+	p.reportParts(testAddr(1), salt)
+	require.Equal(t, 33000, p.b.targets[testAddr(0)].parts.soleTokens)
 
-	a := p.ask(p.request("a", append(shared, Part{"long", 9000})...))
+	a := p.place(p.request("a", append(shared, Part{"long", 9000})...))
 	require.Equal(t, testAddr(1), a.Target, a.Reason)
 	require.Equal(t, testAddr(0), a.Fetch)
-	p.done(a)
+	p.finish(a)
 	p.now = p.now.Add(time.Minute)
-	p.holds(testAddr(0), salt)
-	p.holds(testAddr(1), salt)
-	a = p.ask(p.request("a", append(shared, Part{"short", 50})...))
+	p.reportParts(testAddr(0), salt)
+	p.reportParts(testAddr(1), salt)
+	a = p.place(p.request("a", append(shared, Part{"short", 50})...))
 	require.Equal(t, testAddr(0), a.Target, a.Reason)
-	p.done(a)
+	p.finish(a)
 
 	// What two engines hold is not missed at one of them.
-	p.holds(testAddr(1), salt, kept[:3]...)
-	require.Equal(t, 6000, p.b.targets[testAddr(0)].parts.only)
-	p.holds(testAddr(1), salt, Part{"k1", 0})
-	require.Equal(t, 15000, p.b.targets[testAddr(0)].parts.only)
+	p.reportParts(testAddr(1), salt, kept[:3]...)
+	require.Equal(t, 6000, p.b.targets[testAddr(0)].parts.soleTokens)
+	p.reportParts(testAddr(1), salt, Part{"k1", 0})
+	require.Equal(t, 15000, p.b.targets[testAddr(0)].parts.soleTokens)
 }
 
 func sharedIDs(parts []Part) []uint64 {
@@ -153,8 +153,8 @@
 // new weights give every part a new key.
 func TestSharedKeysForgotten(t *testing.T) {
 	p := newPartsBoard(t, 1)
-	a := p.ask(p.request("a", append(shared, own)...))
-	p.holds(testAddr(0), a.Salt, shared...)
+	a := p.place(p.request("a", append(shared, own)...))
+	p.reportParts(testAddr(0), a.Salt, shared...)
 	require.Len(t, p.b.shared.counted, len(shared))
 	p.b.PartChanges(p.now, testAddr(0), time.Time{}, true, nil)
 	require.Empty(t, p.b.shared.counted)
--- a/route/silent.go
+++ b/route/silent.go
@@ -41,7 +41,7 @@
 // answered this router in the meantime: each router that found out for itself
 // would pay with a request.
 func (b *Board) mergeSilent(now time.Time, states map[string]PeerState) {
-	if b.off.Has(SilentWords) {
+	if b.disabled.Has(SilentWords) {
 		return
 	}
 	silent := make(map[Mark]int)
--- a/route/silent_test.go
+++ b/route/silent_test.go
@@ -11,14 +11,14 @@
 // went silent serves again at once, and that peers are not told that it is silent.
 func TestSilentReached(t *testing.T) {
 	f := newPartsBoard(t, 1)
-	a := f.ask(f.request("a", own))
+	a := f.place(f.request("a", own))
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Silent: true})
 	require.False(t, f.b.targets[testAddr(0)].usable())
 	require.NotEmpty(t, f.b.State(f.now).Silent)
 	waiting := f.request("a", own)
-	require.Nil(t, f.ask(waiting))
+	require.Nil(t, f.place(waiting))
 	f.now = f.now.Add(5 * time.Millisecond)
-	require.Equal(t, []string{waiting.ID}, f.sent(f.b.Reached(f.now, testAddr(0))))
+	require.Equal(t, []string{waiting.ID}, f.sentTargets(f.b.Reached(f.now, testAddr(0))))
 	require.Empty(t, f.b.State(f.now).Silent)
 }
 
@@ -26,7 +26,7 @@
 // peers found silent later.
 func TestSilentReachedLate(t *testing.T) {
 	f := newPartsBoard(t, 1)
-	a := f.ask(f.request("a", own))
+	a := f.place(f.request("a", own))
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Silent: true})
 	f.now = f.now.Add(time.Millisecond)
 	m := Mark{testAddr(0), "0"}
--- a/route/stream.go
+++ b/route/stream.go
@@ -25,8 +25,8 @@
 	Cached     int
 }
 
-// maxHeld bounds the chunks held while an earlier one is missing.
-const maxHeld = 32
+// maxBuffered bounds the chunks held while an earlier one is missing.
+const maxBuffered = 32
 
 // The ways a stream can break.
 var (
@@ -40,22 +40,22 @@
 // Chunks of other attempts and repeated chunks are dropped and counted; chunks
 // that come early are held until the missing ones arrive.
 type Stream struct {
-	attempt string
-	next    int
-	held    map[int]Chunk
+	attempt  string
+	next     int
+	buffered map[int]Chunk
 	// numbered is settled by the first chunk; an engine that numbers nothing relies on TCP for order.
 	numbered bool
 	begun    bool
 	finished bool
 	usage    *Usage
-	whole    bool
+	complete bool
 	dropped  int
 	texts    int
 }
 
 // NewStream returns the checker of an attempt's answer.
 func NewStream(attempt string) *Stream {
-	return &Stream{attempt: attempt, next: 1, held: make(map[int]Chunk)}
+	return &Stream{attempt: attempt, next: 1, buffered: make(map[int]Chunk)}
 }
 
 // Accept takes the next chunk from the connection and returns those that are now in order.
@@ -74,25 +74,25 @@
 		s.dropped++
 		return nil, nil
 	}
-	if _, twice := s.held[c.Seq]; twice {
+	if _, twice := s.buffered[c.Seq]; twice {
 		s.dropped++
 		return nil, nil
 	}
-	if len(s.held) >= maxHeld {
+	if len(s.buffered) >= maxBuffered {
 		return nil, ErrGap.Errorf("chunk %d is missing", s.next)
 	}
-	s.held[c.Seq] = c
-	return s.release()
+	s.buffered[c.Seq] = c
+	return s.flush()
 }
 
-// release delivers the held chunks that follow without a gap.
-func (s *Stream) release() (out []Chunk, err error) {
+// flush delivers the held chunks that follow without a gap.
+func (s *Stream) flush() (out []Chunk, err error) {
 	for {
-		c, ok := s.held[s.next]
+		c, ok := s.buffered[s.next]
 		if !ok {
 			return out, nil
 		}
-		delete(s.held, s.next)
+		delete(s.buffered, s.next)
 		s.next++
 		if out, err = s.deliver(out, c); err != nil {
 			return out, err
@@ -117,19 +117,19 @@
 // end checks at the end mark that nothing is missing.
 func (s *Stream) end() error {
 	switch {
-	case len(s.held) > 0:
+	case len(s.buffered) > 0:
 		return ErrGap.Errorf("chunk %d is missing", s.next)
 	case !s.finished:
 		return ErrUnfinished.Errorf("after %d chunks", s.next-1)
 	case s.numbered && s.usage == nil:
 		return ErrUnfinished.Errorf("the usage record is missing")
 	}
-	s.whole = true
+	s.complete = true
 	return nil
 }
 
-// Whole reports whether the answer arrived complete and in order.
-func (s *Stream) Whole() bool { return s.whole }
+// Complete reports whether the answer arrived complete and in order.
+func (s *Stream) Complete() bool { return s.complete }
 
 // Usage returns the engine's count of tokens, or nil if it gave none.
 func (s *Stream) Usage() *Usage { return s.usage }
--- a/route/stream_test.go
+++ b/route/stream_test.go
@@ -56,7 +56,7 @@
 		if !strings.HasPrefix(right, got) {
 			rt.Fatalf("delivered %q, right is %q", got, right)
 		}
-		if s.Whole() && got != right {
+		if s.Complete() && got != right {
 			rt.Fatalf("taken for whole: %q, right is %q", got, right)
 		}
 	})
@@ -67,7 +67,7 @@
 	for _, c := range chunks {
 		out, err := s.Accept(c)
 		got.WriteString(textOf(out))
-		if err != nil || s.Whole() {
+		if err != nil || s.Complete() {
 			break
 		}
 	}
@@ -110,7 +110,7 @@
 					break
 				}
 			}
-			require.Equal(t, c.whole, s.Whole())
+			require.Equal(t, c.whole, s.Complete())
 			require.Equal(t, c.dropped, s.Dropped())
 			if c.err != nil {
 				require.True(t, errors.Is(err, c.err), "got %v", err)
--- a/route/target.go
+++ b/route/target.go
@@ -216,7 +216,7 @@
 	}
 	rate := float64(uncached) / took.Seconds()
 	t.learned = follow(t.learned, rate)
-	if b.off.Has(PoolRate) {
+	if b.disabled.Has(PoolRate) {
 		return
 	}
 	for _, p := range t.pools {
@@ -252,7 +252,7 @@
 	}
 	for addr, t := range b.targets {
 		if !t.listed && len(t.attempts) == 0 {
-			b.note(event.Event{Code: event.TargetGone, Target: t.name()})
+			b.emit(event.Event{Code: event.TargetGone, Target: t.name()})
 			b.dropTarget(addr, t)
 		}
 	}
--- a/route/target_limit.go
+++ b/route/target_limit.go
@@ -23,7 +23,7 @@
 	// its echoes; at is when this router took it.
 	seq uint64
 	at  time.Time
-	// account is what may be sent, counted how many other routers told of it at toldAt.
+	// account is what may be sent, counted how many other routers told of it at limitsReportedAt.
 	account allowance
 	counted int
 	toldAt  time.Time
@@ -84,7 +84,7 @@
 		if w.Named {
 			text = fmt.Sprintf("%g requests a second from all routers", w.PerSecond)
 		}
-		b.note(event.Event{Code: event.TargetLimit, Target: t.name(), Detail: text + ", says " + source})
+		b.emit(event.Event{Code: event.TargetLimit, Target: t.name(), Detail: text + ", says " + source})
 	}
 	if w.Named && !l.named {
 		l.account = newAllowance(now)
@@ -136,12 +136,12 @@
 // unused use it as often as there are routers. One request alone says nothing of the others.
 func (b *Board) askedAlike(now time.Time, l *targetLimit) float64 {
 	_, all := b.togetherWith(now, l.counted, l.toldAt)
-	return float64(all) * max(0, l.account.asked.level(now)-1/askedOver.Seconds())
+	return float64(all) * max(0, l.account.asked.windowRate(now)-1/askedOver.Seconds())
 }
 
 // drawOf is a number from 0 to 1 that a request and a target always have together.
 func drawOf(request string, t *target) float64 {
-	return float64(mix(xxh3.HashString(request)^t.hash)>>11) / (1 << 53)
+	return float64(mixHash(xxh3.HashString(request)^t.hash)>>11) / (1 << 53)
 }
 
 // chargeLimit takes an attempt off its target's limit.
--- a/route/target_limit_fleet_test.go
+++ b/route/target_limit_fleet_test.go
@@ -75,7 +75,7 @@
 
 // start starts a router anew.
 func (f *namedFleet) start(i int) {
-	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.boards))), WithUnknownSize()}, f.opts...)...)
+	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.boards))), WithPartialPeerList()}, f.opts...)...)
 	b.Adopt(f.now, testSetup{}.snapshot(f.t))
 	var seen []Seen
 	for k := range f.targets {
--- a/route/wait_test.go
+++ b/route/wait_test.go
@@ -24,7 +24,7 @@
 // fullBoard returns a board whose only engine has no memory left for more.
 func fullBoard(t *testing.T) *partsBoard {
 	f := newFillBoard(t, 1)
-	require.NotNil(t, f.ask(f.aimed(time.Second, Part{"big", partsMemory * 7 / 10})))
+	require.NotNil(t, f.place(f.requestWithAim(time.Second, Part{"big", partsMemory * 7 / 10})))
 	return f
 }
 
@@ -33,8 +33,8 @@
 func TestWaitsWhileInTime(t *testing.T) {
 	f := fullBoard(t)
 	// Answers took four times as long as their own part of a prompt alone.
-	f.b.pools["e"].firsts.add(400*time.Millisecond, 100*time.Millisecond)
-	r := f.aimed(600*time.Millisecond, Part{"own", 5000})
+	f.b.pools["e"].firstTokens.add(400*time.Millisecond, 100*time.Millisecond)
+	r := f.requestWithAim(600*time.Millisecond, Part{"own", 5000})
 	require.Empty(t, refusals(f.b.Arrive(f.now, r)))
 	f.now = f.now.Add(190 * time.Millisecond)
 	require.Empty(t, refusals(f.b.Tick(f.now)))
@@ -49,19 +49,19 @@
 // pace says that there will be no room for it in time, with when there will be.
 func TestRefusedAtOnce(t *testing.T) {
 	f := fullBoard(t)
-	require.Empty(t, refusals(f.b.Arrive(f.now, f.aimed(time.Second, Part{"own", 8000}))))
+	require.Empty(t, refusals(f.b.Arrive(f.now, f.requestWithAim(time.Second, Part{"own", 8000}))))
 	f.now = f.now.Add(500 * time.Millisecond)
-	f.b.pools["e"].drained.add(f.now, 400)
-	late := f.aimed(time.Second, Part{"own2", 8000})
+	f.b.pools["e"].throughput.add(f.now, 400)
+	late := f.requestWithAim(time.Second, Part{"own2", 8000})
 	got := refusals(f.b.Arrive(f.now, late))
 	require.Contains(t, got, late.ID)
 	require.Greater(t, got[late.ID].RetryAfter, time.Second)
 }
 
-// TestFirstTimes checks that means follow what is added, and that no answer is taken
+// TestFirstTokenStats checks that means follow what is added, and that no answer is taken
 // to begin sooner than it can.
-func TestFirstTimes(t *testing.T) {
-	var f firstTimes
+func TestFirstTokenStats(t *testing.T) {
+	var f firstTokenStats
 	require.EqualValues(t, 1, f.factor())
 	f.add(50*time.Millisecond, 100*time.Millisecond)
 	require.EqualValues(t, 1, f.factor())
@@ -71,18 +71,18 @@
 	require.InDelta(t, 3, f.factor(), 0.01)
 }
 
-// TestBegunWaitsOn checks that an answer which has begun and broke is not given up
+// TestStartedAnswerKeepsWaiting checks that an answer which has begun and broke is not given up
 // while no target takes it, as a request is that can no longer be in time.
-func TestBegunWaitsOn(t *testing.T) {
+func TestStartedAnswerKeepsWaiting(t *testing.T) {
 	f := newFillBoard(t, 1)
-	begun := f.aimed(300*time.Millisecond, own)
+	begun := f.requestWithAim(300*time.Millisecond, own)
 	begun.Resumable, begun.Repeatable, begun.MaxTries = true, true, 3
-	a := f.ask(begun)
+	a := f.place(begun)
 	f.b.FirstToken(f.now, a.Request, a.ID)
 	f.b.Progress(f.now, a.Request, a.ID)
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Delivered: true, Silent: true})
-	other := f.aimed(300*time.Millisecond, own)
-	require.Nil(t, f.ask(other))
+	other := f.requestWithAim(300*time.Millisecond, own)
+	require.Nil(t, f.place(other))
 	got := make(map[string]Refusal)
 	for range 20 {
 		f.now = f.now.Add(50 * time.Millisecond)
@@ -90,7 +90,7 @@
 	}
 	require.Contains(t, got, other.ID)
 	require.NotContains(t, got, begun.ID)
-	require.Equal(t, []string{begun.ID}, f.sent(f.b.Reached(f.now, testAddr(0))))
+	require.Equal(t, []string{begun.ID}, f.sentTargets(f.b.Reached(f.now, testAddr(0))))
 }
 
 // TestUrgentFirst checks over seeded overloads that requests which are more urgent
@@ -99,7 +99,7 @@
 func TestUrgentFirst(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			served := playOverload(t, rand.New(rand.NewPCG(seed, 1)))
+			served := runOverload(t, rand.New(rand.NewPCG(seed, 1)))
 			require.GreaterOrEqual(t, served[1], served[0]-0.05)
 			require.GreaterOrEqual(t, served[0], (served[0]+served[1])/8)
 		})
@@ -109,9 +109,9 @@
 // overloadRequests is how many requests an overload has, of each of two priorities half.
 const overloadRequests = 800
 
-// playOverload sends two engines about twice what they can take, and returns the
+// runOverload sends two engines about twice what they can take, and returns the
 // share of each priority that is served.
-func playOverload(t *testing.T, rng *rand.Rand) map[int]float64 {
+func runOverload(t *testing.T, rng *rand.Rand) map[int]float64 {
 	f := newPartsBoard(t, 2)
 	served := make(map[int]float64)
 	priority := make(map[string]int)
@@ -129,7 +129,7 @@
 			take(f.b.FirstToken(f.now, a.Request, a.ID))
 		}
 		running, begun = append(running, begun...), nil
-		r := f.aimed(300*time.Millisecond, Part{fmt.Sprint("p", i), 500 + rng.IntN(3500)})
+		r := f.requestWithAim(300*time.Millisecond, Part{fmt.Sprint("p", i), 500 + rng.IntN(3500)})
 		r.Priority = i % 2
 		priority[r.ID] = r.Priority
 		take(f.b.Arrive(f.now, r))
@@ -144,27 +144,27 @@
 	return served
 }
 
-// TestHeldIsNoQueue checks that requests which wait for what is being read, and not
+// TestAwaitingFillNotCountedAsQueue checks that requests which wait for what is being read, and not
 // for room, get no other refused, whatever was sent before.
-func TestHeldIsNoQueue(t *testing.T) {
+func TestAwaitingFillNotCountedAsQueue(t *testing.T) {
 	f := newFillBoard(t, 3)
-	f.ask(f.aimed(time.Second, append(shared, own)...))
+	f.place(f.requestWithAim(time.Second, append(shared, own)...))
 	for i := range 3 {
-		require.Nil(t, f.ask(f.aimed(time.Second, append(shared, Part{fmt.Sprint("own", i), 500})...)))
+		require.Nil(t, f.place(f.requestWithAim(time.Second, append(shared, Part{fmt.Sprint("own", i), 500})...)))
 	}
-	f.b.pools["e"].drained.add(f.now, 1)
+	f.b.pools["e"].throughput.add(f.now, 1)
 	f.now = f.now.Add(20 * time.Millisecond)
-	last := f.aimed(time.Second, append(shared, Part{"last", 500})...)
+	last := f.requestWithAim(time.Second, append(shared, Part{"last", 500})...)
 	require.Empty(t, refusals(f.b.Arrive(f.now, last)))
 }
 
-// TestPaceFromFirstWait checks that what was sent long before a request had to wait
+// TestThroughputFromFirstWait checks that what was sent long before a request had to wait
 // does not count as the pace at which room comes.
-func TestPaceFromFirstWait(t *testing.T) {
+func TestThroughputFromFirstWait(t *testing.T) {
 	f := fullBoard(t)
-	f.b.pools["e"].drained.add(f.now, 1000)
+	f.b.pools["e"].throughput.add(f.now, 1000)
 	f.now = f.now.Add(30 * time.Second)
-	require.Empty(t, refusals(f.b.Arrive(f.now, f.aimed(time.Second, Part{"own", 8000}))))
+	require.Empty(t, refusals(f.b.Arrive(f.now, f.requestWithAim(time.Second, Part{"own", 8000}))))
 	f.now = f.now.Add(time.Millisecond)
-	require.Empty(t, refusals(f.b.Arrive(f.now, f.aimed(time.Second, Part{"own2", 8000}))))
+	require.Empty(t, refusals(f.b.Arrive(f.now, f.requestWithAim(time.Second, Part{"own2", 8000}))))
 }
--- a/route/weights.go
+++ b/route/weights.go
@@ -92,7 +92,7 @@
 		return useAsGood
 	case !now.Before(b.staleness.until(after, by, b.staleness.Limit)):
 		return useNoMore
-	case now.Sub(by) >= b.staleness.Grace && !b.off.Has(NewestWeights):
+	case now.Sub(by) >= b.staleness.Grace && !b.disabled.Has(NewestWeights):
 		return useAtPrice
 	}
 	return useAsGood
@@ -132,12 +132,12 @@
 	var out []Action
 	for _, a := range t.attempts {
 		r := b.requests[a.Request]
-		if r == nil || r.Model == nil || !r.Streams || a.first || a.cancelled || !b.tooOldBy(now, r.Model.Name, a.Weights) {
+		if r == nil || r.Model == nil || !r.Streams || a.firstToken || a.cancelled || !b.tooOldBy(now, r.Model.Name, a.Weights) {
 			continue
 		}
 		a.cancelled, a.withdrawn = true, true
 		out = append(out, Cancel{Request: a.Request, Attempt: a.ID})
-		b.note(event.Event{Code: event.AttemptWithdrawn, Request: a.Request, Attempt: a.ID, Target: t.name(), Detail: fmt.Sprintf(
+		b.emit(event.Event{Code: event.AttemptWithdrawn, Request: a.Request, Attempt: a.ID, Target: t.name(), Detail: fmt.Sprintf(
 			"it waited %s there, and weights %s have become too old", now.Sub(a.sent).Round(time.Millisecond), a.Weights)})
 	}
 	return out
@@ -154,7 +154,7 @@
 	if !after.IsZero() {
 		most = now.Sub(after).Round(time.Millisecond).String()
 	}
-	b.note(event.Event{Code: event.TargetOutdated, Target: t.name(), Detail: fmt.Sprintf(
+	b.emit(event.Event{Code: event.TargetOutdated, Target: t.name(), Detail: fmt.Sprintf(
 		"%s %s: newer ones, by now %s, were named from %s to %s ago as far as is known here",
 		model, weights, b.NewestWeights(model), now.Sub(by).Round(time.Millisecond), most)})
 }
@@ -184,7 +184,7 @@
 // prefersNewest reports whether a request prefers the engines with the newest
 // weights, as many as these can take beside their part of the others.
 func (b *Board) prefersNewest(r *request, list []server) bool {
-	if b.staleness == nil || len(list) <= fullScan {
+	if b.staleness == nil || len(list) <= maxFullScan {
 		return true
 	}
 	newest := b.NewestWeights(r.Model.Name)
@@ -194,7 +194,7 @@
 			have++
 		}
 	}
-	return r.draw < newestShare*float64(have)/float64(len(list))
+	return r.sample < newestShare*float64(have)/float64(len(list))
 }
 
 // weightsGuess is what a target was taken to have because it refused a request for
@@ -292,7 +292,7 @@
 
 func (b *Board) noteWeights(t *target, weights map[string]string, source string) {
 	for model, w := range weights {
-		b.note(event.Event{Code: event.TargetWeights, Target: t.name(), Detail: model + " " + w + ", says " + source})
+		b.emit(event.Event{Code: event.TargetWeights, Target: t.name(), Detail: model + " " + w + ", says " + source})
 	}
 }
 
--- a/route/weights_test.go
+++ b/route/weights_test.go
@@ -14,16 +14,16 @@
 // ones were named.
 func TestOutdatedNoted(t *testing.T) {
 	var notes []event.Event
-	p := newPartsBoard(t, 1, WithNotes(func(e event.Event) {
+	p := newPartsBoard(t, 1, WithEventHandler(func(e event.Event) {
 		if e.Code == event.TargetOutdated {
 			notes = append(notes, e)
 		}
 	}))
-	p.named("2")
+	p.announceWeights("2")
 	for range 12 {
 		p.now = p.now.Add(time.Second)
-		if a := p.ask(p.request("a", Part{"x", 10})); a != nil {
-			p.done(a)
+		if a := p.place(p.request("a", Part{"x", 10})); a != nil {
+			p.finish(a)
 		}
 	}
 	require.Len(t, notes, 1)
@@ -174,21 +174,21 @@
 func TestWeightsWords(t *testing.T) {
 	p := newPartsBoard(t, 1)
 	mark := Mark{testAddr(0), "0"}
-	p.named("2")
+	p.announceWeights("2")
 	p.b.Loaded(p.now, WeightsWord{mark, "m", "2"})
 	p.report(0, "1")
 	require.Equal(t, "2", p.b.WeightsOf(mark, "m"), "the list lags")
 	p.b.Loaded(p.now, WeightsWord{mark, "m", "1"})
 	require.Equal(t, "2", p.b.WeightsOf(mark, "m"))
 
-	p.named("10")
-	a := p.ask(p.request("a", Part{"x", 10}))
+	p.announceWeights("10")
+	a := p.place(p.request("a", Part{"x", 10}))
 	require.Equal(t, "2", a.Weights)
 	p.refuses(a)
 	p.report(0, "2")
-	a = p.ask(p.request("a", Part{"y", 10}))
+	a = p.place(p.request("a", Part{"y", 10}))
 	require.Equal(t, "10", a.Weights, "the next request expects what the target has, also while the list lags")
-	p.done(a)
+	p.finish(a)
 	p.report(0, "10")
 	require.Equal(t, "10", p.b.WeightsOf(mark, "m"))
 }
@@ -199,10 +199,10 @@
 	for name, play := range map[string]func(p *partsBoard){
 		"it reports weights between": func(p *partsBoard) { p.report(0, "2") },
 		"it refuses the guess": func(p *partsBoard) {
-			a := p.ask(p.request("a", Part{"z", 10}))
+			a := p.place(p.request("a", Part{"z", 10}))
 			require.Equal(p.t, "4", a.Weights)
 			p.refuses(a)
-			require.Nil(p.t, p.ask(p.request("a", Part{"v", 10})), "nothing is sent before it reports itself")
+			require.Nil(p.t, p.place(p.request("a", Part{"v", 10})), "nothing is sent before it reports itself")
 			p.report(0, "2")
 		},
 		"the holder of the lease saw it": func(p *partsBoard) {
@@ -211,7 +211,7 @@
 		"the list lags for long, and then says so": func(p *partsBoard) {
 			p.now = p.now.Add(testGuessTime)
 			p.report(0, "1")
-			a := p.ask(p.request("a", Part{"z", 10}))
+			a := p.place(p.request("a", Part{"z", 10}))
 			require.Equal(p.t, "1", a.Weights, "its own word goes first again")
 			p.refuses(a)
 			p.report(0, "2")
@@ -220,15 +220,15 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPartsBoard(t, 1)
 			for _, w := range []string{"2", "3", "4"} {
-				p.named(w)
+				p.announceWeights(w)
 			}
-			a := p.ask(p.request("a", Part{"x", 10}))
+			a := p.place(p.request("a", Part{"x", 10}))
 			require.Equal(t, "1", a.Weights)
 			p.refuses(a)
 			require.Equal(t, "1", p.b.WeightsOf(Mark{testAddr(0), "0"}, "m"), "nobody saw the target with others")
 			play(p)
 			require.Equal(t, "2", p.b.WeightsOf(Mark{testAddr(0), "0"}, "m"))
-			a = p.ask(p.request("a", Part{"y", 10}))
+			a = p.place(p.request("a", Part{"y", 10}))
 			require.Equal(t, "2", a.Weights)
 		})
 	}
@@ -238,7 +238,7 @@
 // and nothing is sent where it would have to wait for so long.
 func TestWeightsWithdrawn(t *testing.T) {
 	p := newPartsBoard(t, 2)
-	p.named("2")
+	p.announceWeights("2")
 	p.report(1, "2")
 	p.b.Hold(map[Mark]bool{{testAddr(1), "1"}: true})
 	p.now = p.now.Add(8 * time.Second)
@@ -247,12 +247,12 @@
 		r.Streams = true
 		return r
 	}
-	running, waiting := p.ask(stream("x", 10)), p.ask(stream("y", 25000))
-	unseen := p.ask(p.request("a", Part{"u", 10}))
+	running, waiting := p.place(stream("x", 10)), p.place(stream("y", 25000))
+	unseen := p.place(p.request("a", Part{"u", 10}))
 	require.Equal(t, []string{"1", "1"}, []string{running.Weights, waiting.Weights})
 	p.b.FirstToken(p.now, running.Request, running.ID)
 	p.now = p.now.Add(950 * time.Millisecond)
-	require.Nil(t, p.ask(p.request("a", Part{"z", 10})), "what waits there takes half a second to read, and weights 1 are too old then")
+	require.Nil(t, p.place(p.request("a", Part{"z", 10})), "what waits there takes half a second to read, and weights 1 are too old then")
 	require.NotContains(t, p.b.Tick(p.now), Action(Cancel{Request: waiting.Request, Attempt: waiting.ID}))
 	p.now = epoch.Add(testBeginLimit)
 	acts := p.b.Tick(p.now)
@@ -281,9 +281,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPartsBoard(t, 1)
 			for _, weights := range []string{"2", "3", "4"} {
-				p.named(weights)
+				p.announceWeights(weights)
 			}
-			a := p.ask(p.request("a", Part{"x", 10}))
+			a := p.place(p.request("a", Part{"x", 10}))
 			require.Equal(t, "1", a.Weights)
 			p.refuses(a)
 			for _, weights := range c.reports {
@@ -291,7 +291,7 @@
 				p.report(0, weights)
 			}
 			require.Equal(t, c.seen, p.b.WeightsOf(Mark{testAddr(0), "0"}, "m"))
-			a = p.ask(p.request("a", Part{"y", 10}))
+			a = p.place(p.request("a", Part{"y", 10}))
 			require.NotNil(t, a)
 			require.Equal(t, c.want, a.Weights, "the next request expects what the target has")
 		})
@@ -302,9 +302,9 @@
 // sent there: it would be withdrawn while it is read, and sent to another target after that.
 func TestWeightsTooLateForOwnPrompt(t *testing.T) {
 	p := newPartsBoard(t, 1)
-	p.named("2")
+	p.announceWeights("2")
 	p.now = p.now.Add(9*time.Second - 10*time.Millisecond)
-	a := p.ask(p.request("a", Part{"x", 35000}))
+	a := p.place(p.request("a", Part{"x", 35000}))
 	if a == nil {
 		return
 	}
--- a/route/world_test.go
+++ b/route/world_test.go
@@ -77,11 +77,11 @@
 
 // world is one board among fake targets.
 type world struct {
-	now     time.Time
-	board   *Board
-	snap    *policy.Snapshot
-	targets []*fakeTarget
-	flying  []Attempt
+	now      time.Time
+	board    *Board
+	snap     *policy.Snapshot
+	targets  []*fakeTarget
+	inFlight []Attempt
 	// stale are attempts whose end was told already; their replies may still cross.
 	stale  []Attempt
 	ends   map[string][]Action
@@ -90,28 +90,28 @@
 	sends  map[string]int
 	nextID int
 	// told remembers which incarnations the board was told are leaving.
-	told  map[string]bool
-	notes []event.Event
+	announcedLeaving map[string]bool
+	events           []event.Event
 }
 
 func newWorld(t require.TestingT, engines, services int, s testSetup) *world {
 	w := &world{
 		now: epoch, snap: s.snapshot(t), ends: make(map[string][]Action), asked: make(map[string]Request),
-		ran: make(map[string]int), sends: make(map[string]int), told: make(map[string]bool),
+		ran: make(map[string]int), sends: make(map[string]int), announcedLeaving: make(map[string]bool),
 	}
-	w.board = NewBoard(WithSeed(1), WithNotes(func(e event.Event) { w.notes = append(w.notes, e) }))
+	w.board = NewBoard(WithSeed(1), WithEventHandler(func(e event.Event) { w.events = append(w.events, e) }))
 	for i := range engines + services {
 		w.targets = append(w.targets, &fakeTarget{addr: testAddr(i), service: i >= engines, weights: "w1"})
 	}
 	w.board.Adopt(w.now, w.snap)
-	w.list()
+	w.reportList()
 	for _, f := range w.targets {
 		w.report(f)
 	}
 	return w
 }
 
-func (w *world) list() {
+func (w *world) reportList() {
 	var seen []Seen
 	for _, f := range w.targets {
 		label := "e"
@@ -120,18 +120,18 @@
 		}
 		seen = append(seen, Seen{Addr: f.addr, Labels: map[string]string{"s": label}, Leaving: f.listLeaving})
 		if f.listLeaving && !f.listed {
-			w.told[f.id()] = true
+			w.announcedLeaving[f.id()] = true
 		}
 		f.listed = f.listLeaving
 	}
-	w.take(w.board.Targets(w.now, seen))
+	w.execute(w.board.Targets(w.now, seen))
 }
 
 func (w *world) report(f *fakeTarget) {
 	if f.leaving {
-		w.told[f.id()] = true
+		w.announcedLeaving[f.id()] = true
 	}
-	w.take(w.board.Report(w.now, f.addr, f.report()))
+	w.execute(w.board.Report(w.now, f.addr, f.report()))
 }
 
 func (w *world) target(a netip.AddrPort) *fakeTarget {
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// ask sends a request; text decides its prefix.
-func (w *world) ask(org, text string, service, repeatable bool) string {
+// request sends a request; text decides its prefix.
+func (w *world) request(org, text string, service, repeatable bool) string {
 	w.nextID++
 	r := Request{
 		ID: fmt.Sprintf("r%d", w.nextID), Revision: w.board.Revision(), Org: org, Pool: "s", Deadline: w.now.Add(30 * time.Second),
@@ -155,16 +155,16 @@
 		r.Pool, r.Model, r.Text, r.Repeatable, r.Resumable = "e", m, []byte(text), true, true
 	}
 	w.asked[r.ID] = r
-	w.take(w.board.Arrive(w.now, r))
+	w.execute(w.board.Arrive(w.now, r))
 	return r.ID
 }
 
-// take carries actions out; what breaks a promise stands in the returned error of check.
-func (w *world) take(actions []Action) {
+// execute carries actions out; what breaks a promise stands in the returned error of check.
+func (w *world) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			w.flying = append(w.flying, a.Attempt)
+			w.inFlight = append(w.inFlight, a.Attempt)
 			w.sends[a.Attempt.Request]++
 		case Refuse:
 			w.ends[a.Request] = append(w.ends[a.Request], a)
@@ -178,18 +178,18 @@
 
 // cancel takes an attempt out of the air whose end nobody waits for any more.
 func (w *world) cancel(c Cancel) {
-	for i, a := range w.flying {
+	for i, a := range w.inFlight {
 		if a.ID == c.Attempt && w.board.requests[a.Request] == nil {
-			w.pop(i)
+			w.takeInFlight(i)
 			return
 		}
 	}
 }
 
-// pop takes the i-th attempt out of the air.
-func (w *world) pop(i int) Attempt {
-	a := w.flying[i]
-	w.flying = append(w.flying[:i:i], w.flying[i+1:]...)
+// takeInFlight takes the i-th attempt out of the air.
+func (w *world) takeInFlight(i int) Attempt {
+	a := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 	w.stale = append(w.stale, a)
 	return a
 }
@@ -207,7 +207,7 @@
 	if k == OutcomeDone {
 		o.Usage = &Usage{Prompt: 100, Completion: 4, Cached: 10}
 	}
-	w.take(w.board.Ended(w.now, o))
+	w.execute(w.board.Ended(w.now, o))
 }
 
 // check is the oracle for what must hold at every moment.
@@ -232,7 +232,7 @@
 		}
 	}
 	perTarget := make(map[netip.AddrPort]int)
-	for _, a := range w.flying {
+	for _, a := range w.inFlight {
 		perTarget[a.Target]++
 	}
 	for addr, n := range perTarget {
--- a/router/engine.go
+++ b/router/engine.go
@@ -160,7 +160,7 @@
 
 // copyChunks passes chunks on until the stream's end mark.
 func (c *completion) copyChunks(next func() (route.Chunk, error), check *route.Stream, a route.Attempt) error {
-	for !check.Whole() {
+	for !check.Complete() {
 		chunk, err := next()
 		if err != nil {
 			return err
--- a/router/router.go
+++ b/router/router.go
@@ -197,7 +197,7 @@
 		route.WithSeed(seed),
 		route.WithRouters(1+r.seedRouters),
 		route.WithPlacer(route.Placers()[s.Placement]),
-		route.WithNotes(r.events.Record),
+		route.WithEventHandler(r.events.Record),
 		route.WithCrashes(s.Crashes, func() {}),
 	)
 	r.Driver = dispatch.New(board,
