--- a/controller/controller.go
+++ b/controller/controller.go
@@ -131,7 +131,7 @@
 	c.events = event.New(s.Name, event.WithLogger(c.log))
 	c.gossip = peer.NewGossip(peer.GossipConfig{
 		ID: s.Name, Addr: s.Peers, Seeds: s.Seeds, Timeout: s.PeerTimeout,
-		Payload: c.payload, Heard: func(time.Time, fleet.PeerWord) {},
+		Payload: c.payload, OnConfigStatus: func(time.Time, fleet.PeerWord) {},
 	}, c.peers, c.events)
 	c.metrics.NewGauge("pathhead_fleet_leases_held", func() float64 { return float64(c.leasesHeld()) })
 	return c, nil
--- a/ctl/losses_test.go
+++ b/ctl/losses_test.go
@@ -16,7 +16,7 @@
 		return event.Stamp{Time: time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond)}
 	}
 	late := func(sent time.Duration) string {
-		return event.Lateness{First: time.Second, Aim: 600 * time.Millisecond, Sent: sent, Whole: time.Second}.String()
+		return event.Lateness{First: time.Second, Aim: 600 * time.Millisecond, Sent: sent, Finished: time.Second}.String()
 	}
 	events := []event.Event{
 		{Stamp: at(0), Code: event.RequestPlaced, Request: "a", Target: "x"},
--- a/event/lateness.go
+++ b/event/lateness.go
@@ -13,27 +13,27 @@
 	First time.Duration
 	Aim   time.Duration
 	// Sent is when its last attempt left, Whole when all of it was passed on.
-	Sent  time.Duration
-	Whole time.Duration
+	Sent     time.Duration
+	Finished time.Duration
 }
 
-// latenessForm is how a lateness is written, with its times in the order of the fields.
-const latenessForm = "first part after %s the aim is %s sent after %s whole after %s"
+// latenessFormat is how a lateness is written, with its times in the order of the fields.
+const latenessFormat = "first part after %s the aim is %s sent after %s whole after %s"
 
 // String renders the lateness with times in milliseconds.
 func (l Lateness) String() string {
 	ms := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
-	return fmt.Sprintf(latenessForm, ms(l.First).String()+",", ms(l.Aim).String()+";", ms(l.Sent).String()+",", ms(l.Whole))
+	return fmt.Sprintf(latenessFormat, ms(l.First).String()+",", ms(l.Aim).String()+";", ms(l.Sent).String()+",", ms(l.Finished))
 }
 
 // ParseLateness reads what [Lateness.String] wrote and fails on anything else.
 func ParseLateness(text string) (Lateness, error) {
 	var times [4]string
-	if _, err := fmt.Sscanf(text, latenessForm, &times[0], &times[1], &times[2], &times[3]); err != nil {
+	if _, err := fmt.Sscanf(text, latenessFormat, &times[0], &times[1], &times[2], &times[3]); err != nil {
 		return Lateness{}, errs.Errorf("lateness %q: %w", text, err)
 	}
 	var l Lateness
-	for i, field := range []*time.Duration{&l.First, &l.Aim, &l.Sent, &l.Whole} {
+	for i, field := range []*time.Duration{&l.First, &l.Aim, &l.Sent, &l.Finished} {
 		text := times[i]
 		if i < len(times)-1 {
 			text = text[:len(text)-1]
--- a/event/lateness_test.go
+++ b/event/lateness_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLateness(t *testing.T) {
-	l := Lateness{First: 1200 * time.Millisecond, Aim: 600 * time.Millisecond, Sent: 70 * time.Millisecond, Whole: 2 * time.Second}
+	l := Lateness{First: 1200 * time.Millisecond, Aim: 600 * time.Millisecond, Sent: 70 * time.Millisecond, Finished: 2 * time.Second}
 	require.Equal(t, "first part after 1.2s, the aim is 600ms; sent after 70ms, whole after 2s", l.String())
 	got, err := ParseLateness(l.String())
 	require.NoError(t, err)
--- a/event/recorder.go
+++ b/event/recorder.go
@@ -28,7 +28,7 @@
 	Revision int64  `json:"revision,omitempty"`
 	Detail   string `json:"detail,omitempty"`
 	// told says that the event is in the log.
-	told bool
+	logged bool
 }
 
 // Filter selects events; a zero field matches every event.
@@ -118,11 +118,11 @@
 	full bool
 	// troubled are the requests with which something went wrong lately, before those
 	// that did so earlier: all that follows is told of them too.
-	troubled, before map[string]bool
+	recentFailures, olderFailures map[string]bool
 }
 
-// troubledKept is the number of requests after which the older of the two sets is forgotten.
-const troubledKept = 512
+// failureSetSize is the number of requests after which the older of the two sets is forgotten.
+const failureSetSize = 512
 
 // defaultSize is the number of events kept: at 36 requests/s, the share of one
 // node of 390 at 14,000/s, and four events a request it holds about 28 s.
@@ -196,46 +196,46 @@
 // well is kept, and told as soon as it does not.
 func (r *Recorder) logRequest(e Event, level slog.Level) {
 	wrong := level >= slog.LevelInfo
-	if !wrong && !r.wentWrong(e.Request) && xxh3.HashString(e.Request)%r.sample != 0 {
+	if !wrong && !r.failedRecently(e.Request) && xxh3.HashString(e.Request)%r.sample != 0 {
 		r.keep(e)
 		return
 	}
 	if wrong {
-		r.noteWrong(e.Request)
-		for _, earlier := range r.takeUntold(e.Request) {
+		r.recordFailure(e.Request)
+		for _, earlier := range r.takeUnlogged(e.Request) {
 			r.write(earlier, slog.LevelInfo)
 		}
 	}
-	e.told = true
+	e.logged = true
 	r.keep(e)
 	r.write(e, max(level, slog.LevelInfo))
 }
 
-// wentWrong reports whether something went wrong with a request lately.
-func (r *Recorder) wentWrong(request string) bool {
+// failedRecently reports whether something went wrong with a request lately.
+func (r *Recorder) failedRecently(request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.troubled[request] || r.before[request]
+	return r.recentFailures[request] || r.olderFailures[request]
 }
 
-func (r *Recorder) noteWrong(request string) {
+func (r *Recorder) recordFailure(request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.troubled == nil || len(r.troubled) >= troubledKept {
-		r.before, r.troubled = r.troubled, make(map[string]bool)
+	if r.recentFailures == nil || len(r.recentFailures) >= failureSetSize {
+		r.olderFailures, r.recentFailures = r.recentFailures, make(map[string]bool)
 	}
-	r.troubled[request] = true
+	r.recentFailures[request] = true
 }
 
-// takeUntold returns the kept events of a request that were not logged, and notes that they are.
-func (r *Recorder) takeUntold(request string) []Event {
+// takeUnlogged returns the kept events of a request that were not logged, and notes that they are.
+func (r *Recorder) takeUnlogged(request string) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Event
 	for i := range r.ring {
 		e := &r.ring[(r.next+i)%len(r.ring)]
-		if e.Request == request && !e.told {
-			e.told = true
+		if e.Request == request && !e.logged {
+			e.logged = true
 			out = append(out, *e)
 		}
 	}
--- a/event/trouble_test.go
+++ b/event/trouble_test.go
@@ -11,7 +11,7 @@
 
 // Once something went wrong with a request, all that came before and all that
 // follows is in the log; of requests that go well only some are.
-func TestTroubledRequestIsToldWhole(t *testing.T) {
+func TestFailedRequestLoggedInFull(t *testing.T) {
 	var out bytes.Buffer
 	r := New("p", WithLogger(slog.New(slog.NewTextHandler(&out, nil))), WithSample(1<<30))
 	note := func(request string, codes ...Code) {
--- a/node/crash.go
+++ b/node/crash.go
@@ -32,11 +32,11 @@
 func (n *Node) tryTarget(target netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(context.Background(), reachTime)
 	defer cancel()
-	err := n.conns.Reaches(ctx, target)
+	err := n.conns.CheckReachable(ctx, target)
 	switch {
 	case err == nil:
 		n.Do(func(b *route.Board, now time.Time) []route.Action { return b.Reached(now, target) })
-	case transport.NobodyListens(err):
+	case transport.ConnectionRefused(err):
 		n.targetEnded(target)
 	default:
 		n.log.Debug("a target takes no new connection", "target", target, "error", err)
--- a/node/duty.go
+++ b/node/duty.go
@@ -322,7 +322,7 @@
 // rowsBeside is how many rows stand beside the lease, itself among them: one call reads them all.
 const rowsBeside = 4
 
-// rowOf returns the row with a key.
+// decodeRow returns the row with a key.
 func rowOf(rows []fleet.Row, sort string) (fleet.Row, bool) {
 	i := slices.IndexFunc(rows, func(r fleet.Row) bool { return r.Sort == sort })
 	if i < 0 {
--- a/node/fetch.go
+++ b/node/fetch.go
@@ -54,7 +54,7 @@
 	if !behind {
 		return
 	}
-	for _, addr := range n.gossip.Sweep(ctx) {
+	for _, addr := range n.gossip.ExchangeWithAll(ctx) {
 		n.fetchFrom(ctx, addr)
 	}
 }
--- a/node/fleet_sizes_test.go
+++ b/node/fleet_sizes_test.go
@@ -104,7 +104,7 @@
 }
 
 // addCrashes notes the sizes of the words on targets that ended, which a message may lack.
-func (h *simHandler) addCrashes(words ...*peer.Crashes) {
+func (h *simHandler) addCrashes(words ...*peer.CrashMessage) {
 	for _, w := range words {
 		if w != nil {
 			h.sizes.add("crashes", w)
@@ -113,13 +113,13 @@
 }
 
 // Recent implements [peer.RecentHandler].
-func (h *simHandler) Recent(w peer.RecentWord) {
+func (h *simHandler) Recent(w peer.RecentNotice) {
 	h.sizes.add("recent", w)
 	h.Node.Recent(w)
 }
 
 // Placed implements [peer.PlacedHandler].
-func (h *simHandler) Placed(w peer.PlacedWord) {
+func (h *simHandler) Placed(w peer.PlacedNotice) {
 	h.sizes.add("placed", w)
 	h.Node.Placed(w)
 }
--- a/node/forward.go
+++ b/node/forward.go
@@ -78,7 +78,7 @@
 	}
 	f.n.events.Record(event.Event{
 		Code: event.RequestLate, Request: f.v.ask.ID, Org: f.req.Org,
-		Detail: event.Lateness{First: f.firstAfter, Aim: aim, Sent: f.sentAfter, Whole: f.n.now.Since(f.v.begun)}.String(),
+		Detail: event.Lateness{First: f.firstAfter, Aim: aim, Sent: f.sentAfter, Finished: f.n.now.Since(f.v.begun)}.String(),
 	})
 }
 
@@ -299,7 +299,7 @@
 	id := f.v.ask.ID
 	return transport.Request{
 		Target: a.Target, Method: f.v.r.Method, URI: f.v.uri, Host: f.v.r.Host, Header: h, Body: f.v.body,
-		Own: func(h http.Header) bool { return f.n.protocol.Own(h, id) },
+		Matches: func(h http.Header) bool { return f.n.protocol.Own(h, id) },
 	}
 }
 
@@ -308,11 +308,11 @@
 	if out.Kind = route.OutcomeBroken; errors.Is(err, transport.ErrUnsent) {
 		out.Kind = route.OutcomeUnsent
 	}
-	if out.Silent = errors.Is(err, transport.ErrSilent); out.Silent && out.Kind != route.OutcomeUnsent {
+	if out.Silent = errors.Is(err, transport.ErrUnresponsive); out.Silent && out.Kind != route.OutcomeUnsent {
 		f.n.reach(target)
 	}
 	switch {
-	case out.Kind == route.OutcomeUnsent && transport.NobodyListens(err):
+	case out.Kind == route.OutcomeUnsent && transport.ConnectionRefused(err):
 		f.n.targetEnded(target)
 	case out.Kind == route.OutcomeBroken && transport.ClosedByTarget(err):
 		out.Closed = true
@@ -323,7 +323,7 @@
 	return out
 }
 
-// maxWhole bounds an answer that is held whole, in bytes.
+// maxInteger bounds an answer that is held whole, in bytes.
 const maxWhole = 4 << 20
 
 // whole reads an answer to its end before any of it is passed on. A target's own
--- a/node/holders.go
+++ b/node/holders.go
@@ -44,7 +44,7 @@
 func (n *Node) sendPlaced(ctx context.Context, p route.PlacementReport) {
 	if _, large := n.relays.size(); !large {
 		if !n.off.Has(route.PlacedWords) {
-			n.gossip.TellPlaced(ctx, p)
+			n.gossip.BroadcastPlaced(ctx, p)
 		}
 		return
 	}
@@ -55,7 +55,7 @@
 	if ok && len(p.Fills) > 0 && !n.off.Has(route.HolderHomes) {
 		// Loads are the relays' to tell.
 		p.Load = route.Load{}
-		n.gossip.TellPlacedTo(ctx, home.Addr, p)
+		n.gossip.SendPlaced(ctx, home.Addr, p)
 	}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Placed implements [peer.PlacedHandler].
-func (n *Node) Placed(w peer.PlacedWord) {
+func (n *Node) Placed(w peer.PlacedNotice) {
 	n.Lock()
 	n.Board().MergeFills(n.now(), w.Placed.Fills)
 	n.Unlock()
--- a/node/list_pages.go
+++ b/node/list_pages.go
@@ -123,7 +123,7 @@
 		from++
 	}
 	to := min(from+listPageEntries, len(keys))
-	p := peer.ListPage{More: to < len(keys), News: peer.RelayNews{ListAge: n.now.Since(r.listAt), Cursor: r.cursor()}}
+	p := peer.ListPage{More: to < len(keys), News: peer.RelayUpdate{ListAge: n.now.Since(r.listAt), Cursor: r.cursor()}}
 	for _, addr := range keys[from:to] {
 		if e, ok := r.entries.Get(addr); ok {
 			p.Entries = append(p.Entries, e)
@@ -156,7 +156,7 @@
 		defer r.paging.Store(false)
 		var (
 			q     peer.ListQuery
-			first peer.RelayNews
+			first peer.RelayUpdate
 			begun time.Time
 		)
 		entries := make(map[netip.AddrPort]*route.Entry)
@@ -185,7 +185,7 @@
 
 // paged takes a list that was taken in pages; what changed since the first one is told with the
 // next report.
-func (r *relays) paged(begun time.Time, from fleet.Member, first peer.RelayNews, entries map[netip.AddrPort]*route.Entry) {
+func (r *relays) paged(begun time.Time, from fleet.Member, first peer.RelayUpdate, entries map[netip.AddrPort]*route.Entry) {
 	r.mu.Lock()
 	members, digest := r.from.members, r.from.digest
 	if r.from.id != from.ID {
--- a/node/newest.go
+++ b/node/newest.go
@@ -144,7 +144,7 @@
 	return out
 }
 
-// heardNewest takes what a peer told in answer to a call from begun on; a zero begun
+// receivedNewest takes what a peer told in answer to a call from begun on; a zero begun
 // stands for a word that was not asked for.
 func (n *Node) heardNewest(begun time.Time, source string, words []route.NewestWord) {
 	heard := n.now()
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	conns    *transport.Pool
 	peers    *peer.Client
 	gossip   *peer.Gossip
-	crashes  *peer.CrashTalk
+	crashes  *peer.CrashGossip
 	// crashSeen wakes the loop that tells others at once of targets that ended under requests.
 	crashSeen waker
 	// era is the store's newest life that this node acted on.
@@ -73,7 +73,7 @@
 	duty     *duty
 	relays   *relays
 	rollouts *rollouts
-	// smallFleet is the size of fleet up to which all nodes talk to each other.
+	// largeFleetSize is the size of fleet up to which all nodes talk to each other.
 	smallFleet int
 	// metricsAddr is where the counters are served, invalid for nowhere.
 	metricsAddr netip.AddrPort
@@ -211,14 +211,14 @@
 		route.WithCrashes(n.crashSettings, n.crashSeen.wake),
 	)
 	n.Driver = dispatch.New(board, dispatch.WithEnded(n.counters.attempt), dispatch.WithClock(n.now))
-	n.crashes = peer.NewCrashTalk(n.CrashesSince, n.takeCrashes)
+	n.crashes = peer.NewCrashGossip(n.CrashesSince, n.takeCrashes)
 	n.gossip = peer.NewGossip(peer.GossipConfig{
 		ID: s.Name, Addr: s.Peers, Seeds: s.Seeds, Timeout: peerTimeout, Seed: seed, Clock: n.now,
-		Payload: n.payload, Heard: n.heard, Newest: n.newestWords, HeardNewest: n.heardNewest,
-		Alone:       n.off.Has(route.OthersEntries),
-		Relays:      func() []fleet.Member { return n.relays.known() },
-		HeardRelays: func(relays []fleet.Member) { n.relays.heardOf(relays) },
-		Crashes:     n.crashes,
+		Payload: n.payload, OnConfigStatus: n.heard, NewestWeights: n.newestWords, OnNewestWeights: n.heardNewest,
+		OwnEntryOnly: n.off.Has(route.OthersEntries),
+		Relays:       func() []fleet.Member { return n.relays.known() },
+		OnRelays:     func(relays []fleet.Member) { n.relays.heardOf(relays) },
+		Crashes:      n.crashes,
 	}, n.peers, n.events)
 	n.duty = newDuty(n)
 	n.relays = newRelays(n)
--- a/node/peers.go
+++ b/node/peers.go
@@ -35,10 +35,10 @@
 	ctx, cancel := context.WithTimeout(ctx, tellTime)
 	defer cancel()
 	if _, large := n.relays.size(); large {
-		n.gossip.Tell(ctx, n.relays.everyone())
+		n.gossip.ExchangeWith(ctx, n.relays.everyone())
 		return
 	}
-	n.gossip.Sweep(ctx)
+	n.gossip.ExchangeWithAll(ctx)
 }
 
 // payload is what the node says of itself. In a large fleet relays tell the most of it.
@@ -93,7 +93,7 @@
 	states := make(map[string]route.PeerState)
 	held := make(map[route.Mark]bool)
 	var loaded []route.WeightsWord
-	for _, e := range n.gossip.Heard() {
+	for _, e := range n.gossip.LiveWithAge() {
 		n.domains.note(e.Addr, e.Payload.Zone)
 		if !large {
 			states[e.ID] = e.Payload.State.Aged(e.Age)
--- a/node/recent.go
+++ b/node/recent.go
@@ -28,7 +28,7 @@
 func newOutbox() outbox { return outbox{ready: make(chan struct{}, 1)} }
 
 // add takes what is to be told.
-func (o *outbox) add(w peer.RecentWord) {
+func (o *outbox) add(w peer.RecentNotice) {
 	if w.Relayed {
 		o.relayed = append(o.relayed, w.Recent...)
 	} else {
@@ -49,7 +49,7 @@
 
 // tellRecent tells of a request of this node's own.
 func (r *relays) tellRecent(ctx context.Context, s route.Recent) {
-	word := peer.RecentWord{Recent: []route.Recent{s}}
+	word := peer.RecentNotice{Recent: []route.Recent{s}}
 	r.mu.Lock()
 	acting := r.acting
 	if acting {
@@ -80,7 +80,7 @@
 }
 
 // Recent implements [peer.RecentHandler].
-func (n *Node) Recent(w peer.RecentWord) {
+func (n *Node) Recent(w peer.RecentNotice) {
 	others := n.relays.heardRecent(w)
 	n.Lock()
 	defer n.Unlock()
@@ -89,7 +89,7 @@
 
 // heardRecent notes what a relay has to tell others, and returns the requests that
 // are not this node's own.
-func (r *relays) heardRecent(w peer.RecentWord) []route.Recent {
+func (r *relays) heardRecent(w peer.RecentNotice) []route.Recent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.acting {
@@ -132,18 +132,18 @@
 }
 
 // batches empties the outbox into what each node is to be told.
-func (r *relays) batches() map[netip.AddrPort]peer.RecentWord {
+func (r *relays) batches() map[netip.AddrPort]peer.RecentNotice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own, relayed := r.outbox.take()
-	out := make(map[netip.AddrPort]peer.RecentWord)
-	everything := peer.RecentWord{Recent: append(relayed, own...), Relayed: true}
+	out := make(map[netip.AddrPort]peer.RecentNotice)
+	everything := peer.RecentNotice{Recent: append(relayed, own...), Relayed: true}
 	for _, m := range r.roster.Reporters() {
 		out[m.Addr] = everything
 	}
 	for _, m := range r.roster.Next(r.n.now()) {
 		if delete(out, m.Addr); len(own) > 0 {
-			out[m.Addr] = peer.RecentWord{Recent: own, Relayed: true}
+			out[m.Addr] = peer.RecentNotice{Recent: own, Relayed: true}
 		}
 	}
 	return out
--- a/node/recent_test.go
+++ b/node/recent_test.go
@@ -28,8 +28,8 @@
 	r := testRelays("a")
 	own, other := route.Recent{Target: 1, Prefill: 900}, route.Recent{Target: 2, Prefill: 900}
 	r.echoes[own] = 1
-	require.Equal(t, []route.Recent{other}, r.heardRecent(peer.RecentWord{Recent: []route.Recent{own, other}}))
-	require.Equal(t, []route.Recent{own}, r.heardRecent(peer.RecentWord{Recent: []route.Recent{own}}))
+	require.Equal(t, []route.Recent{other}, r.heardRecent(peer.RecentNotice{Recent: []route.Recent{own, other}}))
+	require.Equal(t, []route.Recent{own}, r.heardRecent(peer.RecentNotice{Recent: []route.Recent{own}}))
 	require.Empty(t, r.echoes)
 }
 
@@ -44,8 +44,8 @@
 	r.roster.Reported(now, fleet.Word[route.PeerState]{From: reporter})
 	r.roster.Answered(now, fleet.Word[route.PeerState]{From: relay, Relay: true}, false)
 	mine, theirs := route.Recent{Target: 1, Prefill: 900}, route.Recent{Target: 2, Prefill: 800}
-	r.heardRecent(peer.RecentWord{Recent: []route.Recent{mine}})
-	r.heardRecent(peer.RecentWord{Recent: []route.Recent{theirs}, Relayed: true})
+	r.heardRecent(peer.RecentNotice{Recent: []route.Recent{mine}})
+	r.heardRecent(peer.RecentNotice{Recent: []route.Recent{theirs}, Relayed: true})
 	got := r.batches()
 	require.Equal(t, []route.Recent{mine}, got[relay.Addr].Recent)
 	require.ElementsMatch(t, []route.Recent{mine, theirs}, got[reporter.Addr].Recent)
--- a/node/relay.go
+++ b/node/relay.go
@@ -109,7 +109,7 @@
 	nodes = len(r.roster.Members(now))
 	if now.Sub(r.largeAt) > rosterTimeout && float64(max(nodes, 1+len(live))) < smallAgain*float64(r.n.smallFleet) {
 		r.large = false
-		r.n.gossip.SetQuiet(false)
+		r.n.gossip.SuppressPeerEvents(false)
 	}
 	return nodes, r.large
 }
@@ -117,7 +117,7 @@
 // begin begins to report to relays; the caller holds the lock.
 func (r *relays) begin(now time.Time, live []peer.Entry) {
 	r.large, r.largeAt = true, now
-	r.n.gossip.SetQuiet(true)
+	r.n.gossip.SuppressPeerEvents(true)
 	for _, e := range live {
 		r.roster.Hint(now, fleet.Member{ID: e.ID, Addr: e.Addr, Zone: e.Payload.Zone, Epoch: e.Epoch, Power: e.Payload.Power})
 	}
--- a/node/relay_answer.go
+++ b/node/relay_answer.go
@@ -65,7 +65,7 @@
 	if in.Brief {
 		out := n.relays.brief()
 		if in.Crashes != nil {
-			out.Crashes = n.crashes.Heard(in.Crashes)
+			out.Crashes = n.crashes.HandleDirectRequest(in.Crashes)
 		}
 		return out
 	}
@@ -81,7 +81,7 @@
 	out := n.relays.answer(in, own)
 	out.Config = word
 	out.Newest = n.newestWords(n.now())
-	out.Crashes = n.crashes.Asked(in.Crashes)
+	out.Crashes = n.crashes.HandleRequest(in.Crashes)
 	n.Lock()
 	defer n.Unlock()
 	now := n.now()
@@ -156,12 +156,12 @@
 }
 
 // news returns what changed of the list since a cursor; the caller holds the lock.
-func (r *relays) news(now time.Time, known peer.RelayCursor) *peer.RelayNews {
+func (r *relays) news(now time.Time, known peer.RelayCursor) *peer.RelayUpdate {
 	epoch := r.roster.Self().Epoch
 	if known.Epoch != epoch {
 		known = peer.RelayCursor{}
 	}
-	out := &peer.RelayNews{ListAge: now.Sub(r.listAt)}
+	out := &peer.RelayUpdate{ListAge: now.Sub(r.listAt)}
 	if out.Paged = r.entries.Len() > listPageEntries && !r.entries.Covers(known.Entries); out.Paged {
 		return out
 	}
--- a/node/relay_report.go
+++ b/node/relay_report.go
@@ -98,19 +98,19 @@
 // call reports to one relay and takes its answer.
 func (r *relays) call(ctx context.Context, to fleet.Member, report peer.RelayReport) {
 	report, told := r.reportTo(to, report)
-	report.Crashes = r.n.crashes.Ask(to.Addr)
+	report.Crashes = r.n.crashes.NewRequest(to.Addr)
 	begun := r.n.now()
 	answer, err := r.n.peers.Relay(ctx, to.Addr, report)
 	if err != nil {
 		r.n.log.Debug("a relay did not answer", "relay", to.ID, "error", err)
-		r.n.crashes.Failed(to.Addr)
+		r.n.crashes.HandleFailure(to.Addr)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.roster.Failed(r.n.now(), to.ID)
 		return
 	}
 	r.n.events.Clock().Observe(answer.Stamp)
-	r.n.crashes.Answered(to.Addr, report.Crashes, answer.Crashes)
+	r.n.crashes.HandleResponse(to.Addr, report.Crashes, answer.Crashes)
 	r.n.domains.note(to.Addr, answer.Word.From.Zone)
 	r.mu.Lock()
 	r.sharedTold[to.ID] = told
@@ -148,7 +148,7 @@
 	r.mu.Unlock()
 	var calls sync.WaitGroup
 	for _, m := range next {
-		asked := r.n.crashes.Ask(m.Addr)
+		asked := r.n.crashes.NewRequest(m.Addr)
 		if asked == nil {
 			continue
 		}
@@ -156,10 +156,10 @@
 			report := peer.RelayReport{Stamp: r.n.events.Clock().Now(), Brief: true, Crashes: asked}
 			answer, err := r.n.peers.Relay(ctx, m.Addr, report)
 			if err != nil || answer.Crashes == nil {
-				r.n.crashes.Failed(m.Addr)
+				r.n.crashes.HandleFailure(m.Addr)
 				return
 			}
-			r.n.crashes.Answered(m.Addr, asked, answer.Crashes)
+			r.n.crashes.HandleResponse(m.Addr, asked, answer.Crashes)
 		})
 	}
 	calls.Wait()
--- a/node/relay_report_test.go
+++ b/node/relay_report_test.go
@@ -15,7 +15,7 @@
 
 // relayNews is a relay's answer with a list of targets, or with what changed of it.
 func relayNews(epoch int64, full bool, targets ...string) peer.RelayAnswer {
-	news := &peer.RelayNews{Cursor: peer.RelayCursor{Epoch: epoch, Entries: 9, Beats: 9}, EntriesFull: full, BeatsFull: full}
+	news := &peer.RelayUpdate{Cursor: peer.RelayCursor{Epoch: epoch, Entries: 9, Beats: 9}, EntriesFull: full, BeatsFull: full}
 	for _, addr := range targets {
 		e := route.Entry{Seen: route.Seen{Addr: netip.MustParseAddrPort(addr)}}
 		news.Entries = append(news.Entries, route.Change[netip.AddrPort, *route.Entry]{Key: e.Seen.Addr, Value: &e})
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -21,19 +21,19 @@
 	enc  *gob.Encoder
 	dec  *gob.Decoder
 	// written and taken count the bytes that passed the coders.
-	written countingWriter
-	taken   *countingReader
+	written  countingWriter
+	received *countingReader
 	// method is that of the answer whose head was read, begun how many bytes came before it.
-	method string
-	begun  int
+	method       string
+	messageStart int
 	// observe hears of each message.
 	observe func(method string, sent, read int)
 }
 
 func newCountingCodec(conn net.Conn, observe func(method string, sent, read int)) *countingCodec {
-	c := &countingCodec{conn: conn, out: bufio.NewWriter(conn), taken: &countingReader{r: bufio.NewReader(conn)}, observe: observe}
+	c := &countingCodec{conn: conn, out: bufio.NewWriter(conn), received: &countingReader{r: bufio.NewReader(conn)}, observe: observe}
 	c.written.w = c.out
-	c.enc, c.dec = gob.NewEncoder(&c.written), gob.NewDecoder(c.taken)
+	c.enc, c.dec = gob.NewEncoder(&c.written), gob.NewDecoder(c.received)
 	return c
 }
 
@@ -52,7 +52,7 @@
 
 // ReadResponseHeader implements [rpc.ClientCodec].
 func (c *countingCodec) ReadResponseHeader(r *rpc.Response) error {
-	c.begun = c.taken.n
+	c.messageStart = c.received.n
 	err := c.dec.Decode(r)
 	c.method = r.ServiceMethod
 	return err
@@ -61,7 +61,7 @@
 // ReadResponseBody implements [rpc.ClientCodec].
 func (c *countingCodec) ReadResponseBody(body any) error {
 	err := c.dec.Decode(body)
-	c.observe(c.method, 0, c.taken.n-c.begun)
+	c.observe(c.method, 0, c.received.n-c.messageStart)
 	return err
 }
 
--- a/peer/config.go
+++ b/peer/config.go
@@ -77,17 +77,17 @@
 // packer packs the newest document once for all who ask.
 type packer struct {
 	mu     sync.Mutex
-	newest packed
+	newest packedDocument
 }
 
-// packed is a document as it goes over the wire.
-type packed struct {
+// packedDocument is a document as it goes over the wire.
+type packedDocument struct {
 	revision int64
 	digest   uint64
 	data     []byte
 }
 
-func (p *packer) pack(d fleet.Document) (packed, error) {
+func (p *packer) pack(d fleet.Document) (packedDocument, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.newest.revision == d.Revision {
@@ -95,13 +95,13 @@
 	}
 	data, err := packDocument(d)
 	if err != nil {
-		return packed{}, errs.Errorf("revision %d: %w", d.Revision, err)
+		return packedDocument{}, errs.Errorf("revision %d: %w", d.Revision, err)
 	}
-	p.newest = packed{revision: d.Revision, digest: xxh3.Hash(data), data: data}
+	p.newest = packedDocument{revision: d.Revision, digest: xxh3.Hash(data), data: data}
 	return p.newest, nil
 }
 
-func (p packed) piece(q ConfigQuery) ConfigPiece {
+func (p packedDocument) piece(q ConfigQuery) ConfigPiece {
 	out := ConfigPiece{Revision: p.revision, Digest: p.digest, Size: len(p.data)}
 	if q.Digest == p.digest && q.Offset >= 0 && q.Offset <= len(p.data) {
 		out.Offset = q.Offset
@@ -134,8 +134,8 @@
 	return d, err
 }
 
-// partial is a packed document of which some pieces have come.
-type partial struct {
+// partialDocument is a packed document of which some pieces have come.
+type partialDocument struct {
 	revision int64
 	digest   uint64
 	data     []byte
@@ -143,9 +143,9 @@
 
 // add adds a piece and reports whether the document is whole. The first piece of another
 // document, as of a peer that has adopted a newer one meanwhile, begins anew.
-func (d *partial) add(p ConfigPiece) (whole bool, err error) {
+func (d *partialDocument) add(p ConfigPiece) (whole bool, err error) {
 	if p.Digest != d.digest {
-		*d = partial{revision: p.Revision, digest: p.Digest}
+		*d = partialDocument{revision: p.Revision, digest: p.Digest}
 	}
 	if p.Offset != len(d.data) || len(p.Data) == 0 || p.Size > maxDocument || len(d.data)+len(p.Data) > p.Size {
 		return false, errs.Errorf("revision %d: a piece of %d bytes at %d of %d, where %d have come", p.Revision, len(p.Data), p.Offset, p.Size, len(d.data))
@@ -160,38 +160,38 @@
 	return true, nil
 }
 
-// taking keeps what came of a document before a call failed, for the next call.
-type taking struct {
-	mu   sync.Mutex
-	kept partial
+// downloadState keeps what came of a document before a call failed, for the next call.
+type downloadState struct {
+	mu    sync.Mutex
+	saved partialDocument
 }
 
-// begin returns what was kept of a newer revision than the given one.
-func (t *taking) begin(have int64) partial {
+// resume returns what was kept of a newer revision than the given one.
+func (t *downloadState) resume(have int64) partialDocument {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.kept.revision <= have {
-		t.kept = partial{}
+	if t.saved.revision <= have {
+		t.saved = partialDocument{}
 	}
-	out := t.kept
+	out := t.saved
 	out.data = slices.Clip(out.data)
 	return out
 }
 
-// keep keeps a document that is not whole, if it is newer than the kept one or more of it has come.
-func (t *taking) keep(d partial) {
+// save keeps a document that is not whole, if it is newer than the kept one or more of it has come.
+func (t *downloadState) save(d partialDocument) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if d.revision > t.kept.revision || d.revision == t.kept.revision && len(d.data) > len(t.kept.data) {
-		t.kept = d
+	if d.revision > t.saved.revision || d.revision == t.saved.revision && len(d.data) > len(t.saved.data) {
+		t.saved = d
 	}
 }
 
-// forget drops what was kept.
-func (t *taking) forget() {
+// reset drops what was kept.
+func (t *downloadState) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.kept = partial{}
+	t.saved = partialDocument{}
 }
 
 // Config takes the document in force at addr if it is newer than the revision that the
@@ -199,23 +199,23 @@
 // take longer than the client's time. What came before a failure is kept for the next call, to
 // whichever peer that has the same document.
 func (p *Client) Config(ctx context.Context, addr netip.AddrPort, from string, have int64) (d fleet.Document, ok bool, err error) {
-	got := p.taking.begin(have)
+	got := p.download.resume(have)
 	for whole := false; !whole; {
 		q := ConfigQuery{From: from, Have: have, Digest: got.digest, Offset: len(got.data)}
-		piece, err := answerOf[ConfigPiece](ctx, p, addr, "Piece", &q)
+		piece, err := invoke[ConfigPiece](ctx, p, addr, "Piece", &q)
 		if err != nil {
-			p.taking.keep(got)
+			p.download.save(got)
 			return d, false, errs.Errorf("after %d bytes: %w", q.Offset, err)
 		}
 		if piece.Revision <= have {
 			return d, false, nil
 		}
 		if whole, err = got.add(piece); err != nil {
-			p.taking.forget()
+			p.download.reset()
 			return d, false, errs.Errorf("peer %s: %w", addr, err)
 		}
 	}
-	p.taking.forget()
+	p.download.reset()
 	if d, err = unpackDocument(got.data); err != nil {
 		return d, false, errs.Errorf("peer %s, revision %d: %w", addr, got.revision, err)
 	}
--- a/peer/config_test.go
+++ b/peer/config_test.go
@@ -26,8 +26,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		docs := []fleet.Document{documentOf(rt, 1), documentOf(rt, 2)}
 		peers := []*packer{new(packer), new(packer)}
-		var kept taking
-		got, asked, broke := kept.begin(0), 0, 0
+		var kept downloadState
+		got, asked, broke := kept.resume(0), 0, 0
 		at := 0
 		for whole := false; !whole; asked++ {
 			if at == 0 && rapid.IntRange(0, 9).Draw(rt, "newer") == 0 {
@@ -37,8 +37,8 @@
 			p, err := peers[peer].pack(docs[at])
 			require.NoError(rt, err)
 			if rapid.IntRange(0, 3).Draw(rt, "breaks") == 0 {
-				kept.keep(got)
-				got = kept.begin(0)
+				kept.save(got)
+				got = kept.resume(0)
 				broke++
 			}
 			whole, err = got.add(p.piece(ConfigQuery{Digest: got.digest, Offset: len(got.data)}))
@@ -58,7 +58,7 @@
 	done := make(chan error, 1)
 	go func() { done <- Serve(l, fakePeer{}) }()
 	p := NewClient(time.Second, nil)
-	d, err := answerOf[fleet.Document](t.Context(), p, l.Addr().(*net.TCPAddr).AddrPort(), "Config", &ConfigQuery{From: "q"})
+	d, err := invoke[fleet.Document](t.Context(), p, l.Addr().(*net.TCPAddr).AddrPort(), "Config", &ConfigQuery{From: "q"})
 	require.NoError(t, err)
 	require.EqualValues(t, 3, d.Revision)
 	p.Close()
@@ -69,7 +69,7 @@
 // What does not fit together is an error and is not gone on with.
 func TestConfigPiecesBad(t *testing.T) {
 	data := []byte(strings.Repeat("x", 3*pieceBytes))
-	p := packed{revision: 4, digest: 7, data: data}
+	p := packedDocument{revision: 4, digest: 7, data: data}
 	first := p.piece(ConfigQuery{})
 	for name, piece := range map[string]ConfigPiece{
 		"nothing":            {Revision: 4, Digest: 7, Size: len(data), Offset: len(first.Data)},
@@ -81,7 +81,7 @@
 		"another's middle":   {Revision: 5, Digest: 8, Size: len(data), Offset: len(first.Data), Data: []byte("x")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var d partial
+			var d partialDocument
 			_, err := d.add(first)
 			require.NoError(t, err)
 			_, err = d.add(piece)
@@ -92,13 +92,13 @@
 	require.Error(t, err, "what is no packed document")
 }
 
-// breakingPeer answers with a large document, and its door ends each connection after so many bytes.
-type breakingPeer struct {
+// largeDocumentPeer answers with a large document, and its door ends each connection after so many bytes.
+type largeDocumentPeer struct {
 	fakePeer
 	doc fleet.Document
 }
 
-func (b breakingPeer) Config() (fleet.Document, bool) { return b.doc, true }
+func (b largeDocumentPeer) Config() (fleet.Document, bool) { return b.doc, true }
 
 // limitedListener ends each connection once so many bytes have left by it.
 type limitedListener struct {
@@ -136,7 +136,7 @@
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	done := make(chan error, 1)
-	go func() { done <- Serve(limitedListener{l, 3 * pieceBytes}, breakingPeer{doc: doc}) }()
+	go func() { done <- Serve(limitedListener{l, 3 * pieceBytes}, largeDocumentPeer{doc: doc}) }()
 	p := NewClient(time.Second, nil)
 	var got fleet.Document
 	calls := 0
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -17,35 +17,35 @@
 
 // The bounds of gossip: which part of its live peers a round exchanges with, at
 // least how many, and how many entries of others an answer carries at most. A fleet
-// of more than smallFleet processes takes the lower ones and half as many rounds,
+// of more than largeFleetSize processes takes the lower ones and half as many rounds,
 // which keeps a process under 10 KB/s.
 const (
-	smallFleet   = 16
-	fanoutPart   = 0.4
-	leastFanout  = 2
-	largeFanout  = 1
-	relayEntries = 8
-	largeRelay   = 3
+	largeFleetSize           = 16
+	fanoutRatio              = 0.4
+	minFanout                = 2
+	largeFleetFanout         = 1
+	forwardEntries           = 8
+	largeFleetForwardEntries = 3
 )
 
-// freshTime is how long after a peer's last word it counts as heard of lately. In a
+// recentWindow is how long after a peer's last word it counts as heard of lately. In a
 // small fleet any two processes exchange within it in 998 of 1,000 cases.
-const freshTime = 1500 * time.Millisecond
+const recentWindow = 1500 * time.Millisecond
 
 // Gossip keeps a process's view of its peers by exchanging with a few at a time.
 type Gossip struct {
-	id      string
-	peers   *Client
-	rec     *event.Recorder
-	payload func(now time.Time) Payload
-	heard   func(begun time.Time, w fleet.PeerWord)
-	newest  func(now time.Time) []route.NewestWord
-	// heardNewest takes what a peer told of the newest weights.
-	heardNewest func(begun time.Time, peer string, words []route.NewestWord)
-	relays      func() []fleet.Member
-	alone       bool
-	told        func([]fleet.Member)
-	crashes     *CrashTalk
+	id             string
+	client         *Client
+	rec            *event.Recorder
+	payload        func(now time.Time) Payload
+	onConfigStatus func(begun time.Time, w fleet.PeerWord)
+	newestWeights  func(now time.Time) []route.NewestWord
+	// receivedNewest takes what a peer told of the newest weights.
+	onNewestWeights func(begun time.Time, peer string, words []route.NewestWord)
+	relays          func() []fleet.Member
+	ownEntryOnly    bool
+	onRelays        func([]fleet.Member)
+	crashes         *CrashGossip
 
 	mu   sync.Mutex
 	view *fleet.View[Payload]
@@ -53,7 +53,7 @@
 	last time.Time
 	now  clock.Clock
 	// quiet says that peers seen and lost are no events.
-	quiet bool
+	suppressEvents bool
 }
 
 // GossipConfig describes a process that gossips.
@@ -68,53 +68,53 @@
 	// Payload returns what the process says of itself.
 	Payload func(now time.Time) Payload
 	// Heard takes a peer's word on configuration, got by a call that began at begun.
-	Heard func(begun time.Time, w fleet.PeerWord)
+	OnConfigStatus func(begun time.Time, w fleet.PeerWord)
 	// Newest returns what the process knows of the newest weights of models, and
-	// HeardNewest takes what a peer told, as Heard does. Both may be nil.
-	Newest      func(now time.Time) []route.NewestWord
-	HeardNewest func(begun time.Time, peer string, words []route.NewestWord)
+	// OnNewestWeights takes what a peer told, as Heard does. Both may be nil.
+	NewestWeights   func(now time.Time) []route.NewestWord
+	OnNewestWeights func(begun time.Time, peer string, words []route.NewestWord)
 	// Alone says that messages have no entries of others.
-	Alone bool
-	// Relays returns the relays of the fleet, where it is large, and HeardRelays
+	OwnEntryOnly bool
+	// Relays returns the relays of the fleet, where it is large, and OnRelays
 	// takes those that a peer told of. Both may be nil.
-	Relays      func() []fleet.Member
-	HeardRelays func(relays []fleet.Member)
+	Relays   func() []fleet.Member
+	OnRelays func(relays []fleet.Member)
 	// Crashes are the words on targets that ended under requests; it may be nil.
-	Crashes *CrashTalk
+	Crashes *CrashGossip
 }
 
 // NewGossip returns the gossip of a process that calls its peers through p.
 func NewGossip(cfg GossipConfig, p *Client, rec *event.Recorder) *Gossip {
 	if cfg.Relays == nil {
 		cfg.Relays = func() []fleet.Member { return nil }
-		cfg.HeardRelays = func([]fleet.Member) {}
+		cfg.OnRelays = func([]fleet.Member) {}
 	}
-	if cfg.Newest == nil {
-		cfg.Newest = func(time.Time) []route.NewestWord { return nil }
-		cfg.HeardNewest = func(time.Time, string, []route.NewestWord) {}
+	if cfg.NewestWeights == nil {
+		cfg.NewestWeights = func(time.Time) []route.NewestWord { return nil }
+		cfg.OnNewestWeights = func(time.Time, string, []route.NewestWord) {}
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Steady
 	}
 	epoch := time.Now().UnixNano()
 	return &Gossip{
-		id:      cfg.ID,
-		peers:   p,
-		rec:     rec,
-		payload: cfg.Payload,
-		heard:   cfg.Heard,
-		newest:  cfg.Newest,
-
-		heardNewest: cfg.HeardNewest,
-
-		relays:  cfg.Relays,
-		alone:   cfg.Alone,
-		told:    cfg.HeardRelays,
-		crashes: cfg.Crashes,
-		view:    fleet.NewView[Payload](cfg.ID, cfg.Addr, epoch, cfg.Seeds, cfg.Timeout),
-		rng:     rand.New(rand.NewPCG(cfg.Seed, uint64(epoch))),
-		last:    cfg.Clock(),
-		now:     cfg.Clock,
+		id:             cfg.ID,
+		client:         p,
+		rec:            rec,
+		payload:        cfg.Payload,
+		onConfigStatus: cfg.OnConfigStatus,
+		newestWeights:  cfg.NewestWeights,
+
+		onNewestWeights: cfg.OnNewestWeights,
+
+		relays:       cfg.Relays,
+		ownEntryOnly: cfg.OwnEntryOnly,
+		onRelays:     cfg.OnRelays,
+		crashes:      cfg.Crashes,
+		view:         fleet.NewView[Payload](cfg.ID, cfg.Addr, epoch, cfg.Seeds, cfg.Timeout),
+		rng:          rand.New(rand.NewPCG(cfg.Seed, uint64(epoch))),
+		last:         cfg.Clock(),
+		now:          cfg.Clock,
 	}
 }
 
@@ -131,9 +131,9 @@
 // fanout is how many peers a round exchanges with.
 func (g *Gossip) fanout() int {
 	if g.large() {
-		return largeFanout
+		return largeFleetFanout
 	}
-	return max(leastFanout, int(math.Ceil(fanoutPart*float64(len(g.Live())))))
+	return max(minFanout, int(math.Ceil(fanoutRatio*float64(len(g.Live())))))
 }
 
 // Period returns the time between rounds for a small fleet's period.
@@ -144,7 +144,7 @@
 	return small
 }
 
-func (g *Gossip) large() bool { return len(g.Live()) >= smallFleet }
+func (g *Gossip) large() bool { return len(g.Live()) >= largeFleetSize }
 
 // SetSeeds replaces the addresses that are tried besides those of live peers.
 func (g *Gossip) SetSeeds(seeds []netip.AddrPort) {
@@ -153,22 +153,22 @@
 	g.view.SetSeeds(seeds)
 }
 
-// SetQuiet makes peers that are seen and lost no events: in a fleet whose processes
+// SuppressPeerEvents makes peers that are seen and lost no events: in a fleet whose processes
 // do not all talk to each other that says nothing.
-func (g *Gossip) SetQuiet(quiet bool) {
+func (g *Gossip) SuppressPeerEvents(quiet bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.quiet = quiet
+	g.suppressEvents = quiet
 }
 
-// Tell exchanges with the processes at the addresses.
-func (g *Gossip) Tell(ctx context.Context, addrs []netip.AddrPort) { g.exchangeAll(ctx, addrs) }
+// ExchangeWith exchanges with the processes at the addresses.
+func (g *Gossip) ExchangeWith(ctx context.Context, addrs []netip.AddrPort) { g.exchangeAll(ctx, addrs) }
 
 // Expire notes which peers were lost, where no rounds do.
 func (g *Gossip) Expire() { g.expire() }
 
-// Sweep exchanges with every seed and live peer, and returns their addresses.
-func (g *Gossip) Sweep(ctx context.Context) []netip.AddrPort {
+// ExchangeWithAll exchanges with every seed and live peer, and returns their addresses.
+func (g *Gossip) ExchangeWithAll(ctx context.Context) []netip.AddrPort {
 	g.mu.Lock()
 	addrs := g.view.Everyone(g.now())
 	g.mu.Unlock()
@@ -186,17 +186,17 @@
 
 func (g *Gossip) exchange(ctx context.Context, addr netip.AddrPort) {
 	begun := g.now()
-	half := g.half("", 0)
-	half.Crashes = g.crashes.Ask(addr)
-	out, err := g.peers.Exchange(ctx, addr, half)
+	half := g.localMessage("", 0)
+	half.Crashes = g.crashes.NewRequest(addr)
+	out, err := g.client.Exchange(ctx, addr, half)
 	if err != nil {
-		g.crashes.Failed(addr)
+		g.crashes.HandleFailure(addr)
 		return
 	}
-	g.crashes.Answered(addr, half.Crashes, out.Crashes)
-	g.take(out)
-	g.heard(begun, out.Word)
-	g.heardNewest(begun, out.From, out.Newest)
+	g.crashes.HandleResponse(addr, half.Crashes, out.Crashes)
+	g.merge(out)
+	g.onConfigStatus(begun, out.Word)
+	g.onNewestWeights(begun, out.From, out.Newest)
 }
 
 // Exchange answers a peer's half with the own, and with what others said where the
@@ -204,19 +204,19 @@
 // configuration and weights is heard as unconfirmed, since it is not known how long it
 // was on its way.
 func (g *Gossip) Exchange(in Exchange) Exchange {
-	g.take(in)
-	g.heard(time.Time{}, fleet.PeerWord{Revision: in.Word.Revision, ConfirmedAge: -1})
-	g.heardNewest(time.Time{}, in.From, in.Newest)
-	out := g.half(in.From, g.relayed(in.Fresh))
-	out.Crashes = g.crashes.Asked(in.Crashes)
-	if later, ok := g.later(in); ok {
+	g.merge(in)
+	g.onConfigStatus(time.Time{}, fleet.PeerWord{Revision: in.Word.Revision, ConfirmedAge: -1})
+	g.onNewestWeights(time.Time{}, in.From, in.Newest)
+	out := g.localMessage(in.From, g.forwardLimit(in.Fresh))
+	out.Crashes = g.crashes.HandleRequest(in.Crashes)
+	if later, ok := g.supersedingEntry(in); ok {
 		out.Entries = append(out.Entries, later)
 	}
 	return out
 }
 
-// later returns the life of a peer that keeps its present one from being heard.
-func (g *Gossip) later(in Exchange) (Entry, bool) {
+// supersedingEntry returns the life of a peer that keeps its present one from being heard.
+func (g *Gossip) supersedingEntry(in Exchange) (Entry, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range in.Entries {
@@ -227,33 +227,33 @@
 	return Entry{}, false
 }
 
-// relayed is how many entries of others a peer gets that heard of the processes
+// forwardLimit is how many entries of others a peer gets that heard of the processes
 // that fresh names. Among those that all talk to each other that is none, since
 // each one's own word is newer.
-func (g *Gossip) relayed(fresh uint64) int {
+func (g *Gossip) forwardLimit(fresh uint64) int {
 	g.mu.Lock()
-	own := g.view.Digest(g.now(), freshTime)
+	own := g.view.Digest(g.now(), recentWindow)
 	g.mu.Unlock()
 	switch {
-	case fresh == own, g.alone:
+	case fresh == own, g.ownEntryOnly:
 		return 0
 	case len(g.relays()) > 0:
 		// What others say of themselves is the relays' to tell.
 		return 0
 	case g.large():
-		return largeRelay
+		return largeFleetForwardEntries
 	}
-	return relayEntries
+	return forwardEntries
 }
 
-func (g *Gossip) take(in Exchange) {
+func (g *Gossip) merge(in Exchange) {
 	g.rec.Clock().Observe(in.Stamp)
 	if len(in.Relays) > 0 {
-		g.told(in.Relays)
+		g.onRelays(in.Relays)
 	}
 	g.mu.Lock()
 	joined := g.view.Merge(g.now(), in.Entries)
-	if g.quiet {
+	if g.suppressEvents {
 		joined = nil
 	}
 	g.mu.Unlock()
@@ -262,41 +262,41 @@
 	}
 }
 
-// half is what this process tells a peer: its own entry, and at most relay of those
+// localMessage is what this process tells a peer: its own entry, and at most relay of those
 // of processes other than the two.
-func (g *Gossip) half(to string, relay int) Exchange {
+func (g *Gossip) localMessage(to string, relay int) Exchange {
 	stamp := g.rec.Clock().Now()
 	now := g.now()
 	payload := g.payload(now)
 	relays := g.relays()
-	newest := g.newest(now)
+	newest := g.newestWeights(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	entries := g.view.Message(now, g.rng, payload, relay)
 	return Exchange{
-		From: g.id, Stamp: stamp, Word: payload.Word, Newest: newest, Relays: relays, Fresh: g.view.Digest(now, freshTime),
+		From: g.id, Stamp: stamp, Word: payload.Word, Newest: newest, Relays: relays, Fresh: g.view.Digest(now, recentWindow),
 		Entries: slices.DeleteFunc(entries, func(e Entry) bool { return e.ID == to }),
 	}
 }
 
-// TellPlaced tells all live peers at once of a request that takes a target long. One
+// BroadcastPlaced tells all live peers at once of a request that takes a target long. One
 // that does not hear of it hears of the load with the next exchange.
-func (g *Gossip) TellPlaced(ctx context.Context, p route.PlacementReport) {
+func (g *Gossip) BroadcastPlaced(ctx context.Context, p route.PlacementReport) {
 	var wg sync.WaitGroup
 	for _, e := range g.Live() {
-		wg.Go(func() { g.TellPlacedTo(ctx, e.Addr, p) })
+		wg.Go(func() { g.SendPlaced(ctx, e.Addr, p) })
 	}
 	wg.Wait()
 }
 
-// TellPlacedTo tells one process of a request that takes a target long.
-func (g *Gossip) TellPlacedTo(ctx context.Context, addr netip.AddrPort, p route.PlacementReport) {
+// SendPlaced tells one process of a request that takes a target long.
+func (g *Gossip) SendPlaced(ctx context.Context, addr netip.AddrPort, p route.PlacementReport) {
 	// An error is seen in the next round too, which tells the same.
-	_ = g.peers.Placed(ctx, addr, PlacedWord{From: g.id, Epoch: g.view.Epoch(), Placed: p})
+	_ = g.client.Placed(ctx, addr, PlacedNotice{From: g.id, Epoch: g.view.Epoch(), Placed: p})
 }
 
 // Placed takes a peer's word on a request.
-func (g *Gossip) Placed(w PlacedWord) {
+func (g *Gossip) Placed(w PlacedNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view.Amend(w.From, w.Epoch, func(p *Payload) {
@@ -309,7 +309,7 @@
 	g.mu.Lock()
 	now := g.now()
 	lost := g.view.Expire(g.last, now)
-	if g.quiet {
+	if g.suppressEvents {
 		lost = nil
 	}
 	g.last = now
@@ -347,8 +347,8 @@
 	return g.view.Live(g.now())
 }
 
-// Heard returns the same entries, each with its age here.
-func (g *Gossip) Heard() []fleet.Heard[Payload] {
+// LiveWithAge returns the same entries, each with its age here.
+func (g *Gossip) LiveWithAge() []fleet.Heard[Payload] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.view.Heard(g.now())
--- a/peer/gossip_test.go
+++ b/peer/gossip_test.go
@@ -15,29 +15,29 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// gossiper is a process that only gossips; it notes the answers that it gave.
-type gossiper struct {
+// gossipNode is a process that only gossips; it notes the answers that it gave.
+type gossipNode struct {
 	*Gossip
 	addr netip.AddrPort
 	// state is what the process says of its requests.
 	state route.PeerState
 	// newest is what it knows of the newest weights, heard what it was told of them.
-	newest []route.NewestWord
-	heard  []heardNewest
+	newest   []route.NewestWord
+	received []receivedNewest
 
 	mu      sync.Mutex
 	answers []Exchange
 }
 
-// heardNewest is a word on the newest weights as it was heard.
-type heardNewest struct {
-	asked bool
-	peer  string
-	words []route.NewestWord
+// receivedNewest is a word on the newest weights as it was heard.
+type receivedNewest struct {
+	initiated bool
+	peer      string
+	words     []route.NewestWord
 }
 
 // Exchange implements [Handler].
-func (g *gossiper) Exchange(in Exchange) Exchange {
+func (g *gossipNode) Exchange(in Exchange) Exchange {
 	out := g.Gossip.Exchange(in)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,21 +46,21 @@
 }
 
 // Config implements [Handler].
-func (g *gossiper) Config() (fleet.Document, bool) { return fleet.Document{}, false }
+func (g *gossipNode) Config() (fleet.Document, bool) { return fleet.Document{}, false }
 
 // last is the last answer given.
-func (g *gossiper) last() Exchange {
+func (g *gossipNode) last() Exchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.answers[len(g.answers)-1]
 }
 
-// startGossipers starts processes that know each other's addresses; none
+// startGossipNodes starts processes that know each other's addresses; none
 // exchanges before it is told to.
-func startGossipers(t *testing.T, names ...string) []*gossiper {
+func startGossipNodes(t *testing.T, names ...string) []*gossipNode {
 	t.Helper()
 	var (
-		out       []*gossiper
+		out       []*gossipNode
 		listeners []net.Listener
 		seeds     []netip.AddrPort
 	)
@@ -72,16 +72,16 @@
 	}
 	for i, name := range names {
 		client := NewClient(time.Second, nil)
-		g := &gossiper{addr: seeds[i]}
+		g := &gossipNode{addr: seeds[i]}
 		g.Gossip = NewGossip(GossipConfig{
 			ID: name, Addr: seeds[i], Seeds: seeds, Timeout: time.Minute, Seed: uint64(i),
-			Payload: func(time.Time) Payload { return Payload{Kind: KindRouter, State: g.state} },
-			Heard:   func(time.Time, fleet.PeerWord) {},
-			Newest:  func(time.Time) []route.NewestWord { return g.newest },
-			HeardNewest: func(begun time.Time, peer string, words []route.NewestWord) {
+			Payload:        func(time.Time) Payload { return Payload{Kind: KindRouter, State: g.state} },
+			OnConfigStatus: func(time.Time, fleet.PeerWord) {},
+			NewestWeights:  func(time.Time) []route.NewestWord { return g.newest },
+			OnNewestWeights: func(begun time.Time, peer string, words []route.NewestWord) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
-				g.heard = append(g.heard, heardNewest{asked: !begun.IsZero(), peer: peer, words: words})
+				g.received = append(g.received, receivedNewest{initiated: !begun.IsZero(), peer: peer, words: words})
 			},
 		}, client, event.New(name))
 		done := make(chan error, 1)
@@ -96,16 +96,16 @@
 	return out
 }
 
-func (g *gossiper) exchangeWith(ctx context.Context, others ...*gossiper) {
+func (g *gossipNode) exchangeWith(ctx context.Context, others ...*gossipNode) {
 	for _, o := range others {
-		g.Tell(ctx, []netip.AddrPort{o.addr})
+		g.ExchangeWith(ctx, []netip.AddrPort{o.addr})
 	}
 }
 
-// TestGossipTellsOwnWordOnly checks that processes which have all heard of each
+// TestGossipSendsOwnEntryOnly checks that processes which have all heard of each
 // other tell only what they say of themselves: each one's own word is newer.
-func TestGossipTellsOwnWordOnly(t *testing.T) {
-	g := startGossipers(t, "a", "b", "c")
+func TestGossipSendsOwnEntryOnly(t *testing.T) {
+	g := startGossipNodes(t, "a", "b", "c")
 	a, b, c := g[0], g[1], g[2]
 	a.exchangeWith(t.Context(), b, c)
 	b.exchangeWith(t.Context(), c)
@@ -114,10 +114,10 @@
 	require.Equal(t, "b", b.last().Entries[0].ID)
 }
 
-// TestGossipTellsOfUnheard checks that a process which has not heard of another
+// TestGossipForwardsUnknownEntry checks that a process which has not heard of another
 // gets that one's word from a third.
-func TestGossipTellsOfUnheard(t *testing.T) {
-	g := startGossipers(t, "a", "b", "c")
+func TestGossipForwardsUnknownEntry(t *testing.T) {
+	g := startGossipNodes(t, "a", "b", "c")
 	a, b, c := g[0], g[1], g[2]
 	b.exchangeWith(t.Context(), c)
 	a.exchangeWith(t.Context(), b)
@@ -129,37 +129,37 @@
 	require.Equal(t, []string{"b", "c"}, heard)
 }
 
-// TestGossipTellsPlaced checks that a word on a request changes what a peer knows of
+// TestGossipPlacedNotice checks that a word on a request changes what a peer knows of
 // the sender's load at that target alone, and that one of an earlier process does not.
-func TestGossipTellsPlaced(t *testing.T) {
-	g := startGossipers(t, "a", "b")
+func TestGossipPlacedNotice(t *testing.T) {
+	g := startGossipNodes(t, "a", "b")
 	a, b := g[0], g[1]
 	x, y := route.Mark{Incarnation: "x"}, route.Mark{Incarnation: "y"}
 	a.state = route.PeerState{Loads: []route.Load{{Target: x, InFlight: 1}, {Target: y, InFlight: 2}}}
 	a.exchangeWith(t.Context(), b)
-	a.TellPlaced(t.Context(), route.PlacementReport{Load: route.Load{Target: x, InFlight: 2, Prefill: 9000}})
+	a.BroadcastPlaced(t.Context(), route.PlacementReport{Load: route.Load{Target: x, InFlight: 2, Prefill: 9000}})
 	loads := func() []route.Load { return b.Live()[0].Payload.State.Loads }
 	require.ElementsMatch(t, []route.Load{{Target: x, InFlight: 2, Prefill: 9000}, {Target: y, InFlight: 2}}, loads())
-	b.Placed(PlacedWord{From: "a", Epoch: 1, Placed: route.PlacementReport{Load: route.Load{Target: x, InFlight: 7}}})
+	b.Placed(PlacedNotice{From: "a", Epoch: 1, Placed: route.PlacementReport{Load: route.Load{Target: x, InFlight: 7}}})
 	require.ElementsMatch(t, []route.Load{{Target: x, InFlight: 2, Prefill: 9000}, {Target: y, InFlight: 2}}, loads())
 }
 
-// TestGossipTellsNewest checks that both sides of an exchange hear what the other knows
+// TestGossipNewestWeights checks that both sides of an exchange hear what the other knows
 // of the newest weights, and that only the one who asked knows since when it was on its way.
-func TestGossipTellsNewest(t *testing.T) {
-	g := startGossipers(t, "a", "b")
+func TestGossipNewestWeights(t *testing.T) {
+	g := startGossipNodes(t, "a", "b")
 	a, b := g[0], g[1]
 	a.newest = []route.NewestWord{{Model: "m", Weights: "2", FirstAge: time.Second, LastAge: -1}}
 	b.newest = []route.NewestWord{{Model: "m", Weights: "1", FirstAge: time.Minute, LastAge: time.Second}}
 	a.exchangeWith(t.Context(), b)
-	require.Equal(t, []heardNewest{{asked: true, peer: "b", words: b.newest}}, a.heard)
-	require.Equal(t, []heardNewest{{peer: "a", words: a.newest}}, b.heard)
+	require.Equal(t, []receivedNewest{{initiated: true, peer: "b", words: b.newest}}, a.received)
+	require.Equal(t, []receivedNewest{{peer: "a", words: a.newest}}, b.received)
 }
 
 // TestGossipClockSetBack checks that a process which is started anew after its clock
 // was set back is heard at once: the order of its lives does not hang on its clock.
 func TestGossipClockSetBack(t *testing.T) {
-	g := startGossipers(t, "a", "b", "c")
+	g := startGossipNodes(t, "a", "b", "c")
 	a, b, c := g[0], g[1], g[2]
 	a.state = route.PeerState{Revision: 1}
 	a.exchangeWith(t.Context(), b, c)
@@ -171,7 +171,7 @@
 	a.Gossip.mu.Lock()
 	a.view = fleet.NewView[Payload]("a", a.addr, 1, []netip.AddrPort{b.addr, c.addr}, time.Minute)
 	a.Gossip.mu.Unlock()
-	revision := func(of *gossiper) int64 {
+	revision := func(of *gossipNode) int64 {
 		for _, e := range of.Live() {
 			if e.ID == "a" {
 				return e.Payload.State.Revision
--- a/peer/list.go
+++ b/peer/list.go
@@ -21,7 +21,7 @@
 	More    bool
 	// News has the relay's cursor and the age of its reading at this page: changes since the first
 	// page's make the list whole.
-	News RelayNews
+	News RelayUpdate
 }
 
 // ListHandler answers such queries; a [Handler] may be one.
@@ -43,5 +43,5 @@
 
 // List asks the process at addr for a page of the list of targets.
 func (p *Client) List(ctx context.Context, addr netip.AddrPort, q ListQuery) (ListPage, error) {
-	return answerOf[ListPage](ctx, p, addr, "List", &q)
+	return invoke[ListPage](ctx, p, addr, "List", &q)
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -17,9 +17,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // fakePeer answers with a fixed half and document.
-type fakePeer struct{ half Exchange }
+type fakePeer struct{ message Exchange }
 
-func (f fakePeer) Exchange(Exchange) Exchange { return f.half }
+func (f fakePeer) Exchange(Exchange) Exchange { return f.message }
 
 func (f fakePeer) Config() (fleet.Document, bool) { return fleet.Document{Revision: 3}, true }
 
@@ -74,9 +74,9 @@
 	return s.fakePeer.Exchange(in)
 }
 
-// TestPeersImpatient checks that a caller who does not wait for an answer leaves
+// TestPeersCallerCancels checks that a caller who does not wait for an answer leaves
 // the connection to others.
-func TestPeersImpatient(t *testing.T) {
+func TestPeersCallerCancels(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
--- a/peer/peers.go
+++ b/peer/peers.go
@@ -52,7 +52,7 @@
 	Fresh uint64
 	// Relays are the relays of a large fleet, which tell a newcomer of it.
 	Relays  []fleet.Member
-	Crashes *Crashes
+	Crashes *CrashMessage
 }
 
 // Handler answers peers' calls.
@@ -63,18 +63,18 @@
 	Config() (d fleet.Document, ok bool)
 }
 
-// PlacedWord is a process's word on a request that takes a target long.
-type PlacedWord struct {
+// PlacedNotice is a process's word on a request that takes a target long.
+type PlacedNotice struct {
 	From   string
 	Epoch  int64
 	Placed route.PlacementReport
 }
 
 // PlacedHandler takes such words; a [Handler] may be one.
-type PlacedHandler interface{ Placed(w PlacedWord) }
+type PlacedHandler interface{ Placed(w PlacedNotice) }
 
 // Placed takes a word on a request.
-func (s peerService) Placed(in *PlacedWord, _ *bool) error {
+func (s peerService) Placed(in *PlacedNotice, _ *bool) error {
 	if h, ok := s.handler.(PlacedHandler); ok {
 		h.Placed(*in)
 	}
@@ -82,8 +82,8 @@
 }
 
 // Placed tells the process at addr of a request.
-func (p *Client) Placed(ctx context.Context, addr netip.AddrPort, w PlacedWord) error {
-	_, err := answerOf[bool](ctx, p, addr, "Placed", &w)
+func (p *Client) Placed(ctx context.Context, addr netip.AddrPort, w PlacedNotice) error {
+	_, err := invoke[bool](ctx, p, addr, "Placed", &w)
 	return err
 }
 
@@ -108,7 +108,7 @@
 
 // Holders asks the process at addr for the holders of blocks.
 func (p *Client) Holders(ctx context.Context, addr netip.AddrPort, q HoldersQuery) (HoldersAnswer, error) {
-	return answerOf[HoldersAnswer](ctx, p, addr, "Holders", &q)
+	return invoke[HoldersAnswer](ctx, p, addr, "Holders", &q)
 }
 
 // peerName is the service's name in net/rpc.
@@ -184,7 +184,7 @@
 	observe Observer
 
 	// taking is the document that is being taken from peers, piece by piece.
-	taking taking
+	download downloadState
 
 	mu      sync.Mutex
 	clients map[netip.AddrPort]*rpc.Client
@@ -226,7 +226,7 @@
 
 // Exchange gossips with the process at addr.
 func (p *Client) Exchange(ctx context.Context, addr netip.AddrPort, in Exchange) (Exchange, error) {
-	return answerOf[Exchange](ctx, p, addr, "Exchange", &in)
+	return invoke[Exchange](ctx, p, addr, "Exchange", &in)
 }
 
 // Close ends all connections.
@@ -252,9 +252,9 @@
 	return sent, read
 }
 
-// answerOf makes one call and returns its answer. The answer to a call that was given
+// invoke makes one call and returns its answer. The answer to a call that was given
 // up may still be read into its place, which is nobody's then.
-func answerOf[T any](ctx context.Context, p *Client, addr netip.AddrPort, method string, in any) (T, error) {
+func invoke[T any](ctx context.Context, p *Client, addr netip.AddrPort, method string, in any) (T, error) {
 	out := new(T)
 	if err := p.call(ctx, addr, method, in, out); err != nil {
 		var none T
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -25,7 +25,7 @@
 	Known RelayCursor
 	// Digest names the members that the reporter was told of last.
 	Digest  uint64
-	Crashes *Crashes
+	Crashes *CrashMessage
 }
 
 // RelayCursor says how much of a relay's news a process has; one of another epoch has none.
@@ -55,12 +55,12 @@
 	Config      fleet.PeerWord
 	// Newest is what the relay knows of the newest weights of models.
 	Newest  []route.NewestWord
-	News    *RelayNews
-	Crashes *Crashes
+	News    *RelayUpdate
+	Crashes *CrashMessage
 }
 
-// RelayNews is what changed at a relay since a cursor.
-type RelayNews struct {
+// RelayUpdate is what changed at a relay since a cursor.
+type RelayUpdate struct {
 	Cursor RelayCursor
 	// ListAge is how long ago the reading of the list of targets began that this is as of.
 	ListAge time.Duration
@@ -75,18 +75,18 @@
 	Parts     route.PartsNews
 }
 
-// RecentWord tells of requests that were placed just now. One that a relay passes on
+// RecentNotice tells of requests that were placed just now. One that a relay passes on
 // is not passed on again to other relays.
-type RecentWord struct {
+type RecentNotice struct {
 	Recent  []route.Recent
 	Relayed bool
 }
 
 // RecentHandler takes such words; a [Handler] may be one.
-type RecentHandler interface{ Recent(w RecentWord) }
+type RecentHandler interface{ Recent(w RecentNotice) }
 
 // Recent takes a word on requests that were placed just now.
-func (s peerService) Recent(in *RecentWord, _ *bool) error {
+func (s peerService) Recent(in *RecentNotice, _ *bool) error {
 	if h, ok := s.handler.(RecentHandler); ok {
 		h.Recent(*in)
 	}
@@ -94,8 +94,8 @@
 }
 
 // Recent tells the process at addr of requests that were placed just now.
-func (p *Client) Recent(ctx context.Context, addr netip.AddrPort, w RecentWord) error {
-	_, err := answerOf[bool](ctx, p, addr, "Recent", &w)
+func (p *Client) Recent(ctx context.Context, addr netip.AddrPort, w RecentNotice) error {
+	_, err := invoke[bool](ctx, p, addr, "Recent", &w)
 	return err
 }
 
@@ -116,5 +116,5 @@
 
 // Relay reports to the process at addr.
 func (p *Client) Relay(ctx context.Context, addr netip.AddrPort, in RelayReport) (RelayAnswer, error) {
-	return answerOf[RelayAnswer](ctx, p, addr, "Relay", &in)
+	return invoke[RelayAnswer](ctx, p, addr, "Relay", &in)
 }
--- a/router/config.go
+++ b/router/config.go
@@ -111,7 +111,7 @@
 // fromPeers adopts the newest revision that a seed or live peer serves under.
 func (r *Router) fromPeers(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, addr := range r.gossip.Sweep(ctx) {
+	for _, addr := range r.gossip.ExchangeWithAll(ctx) {
 		wg.Go(func() {
 			if d, ok, err := r.peers.Config(ctx, addr, r.id, r.revision()); err == nil && ok {
 				r.adopt(d)
--- a/router/poll.go
+++ b/router/poll.go
@@ -92,7 +92,7 @@
 	}
 	r.Do(func(b *route.Board, now time.Time) []route.Action {
 		switch {
-		case transport.NobodyListens(err):
+		case transport.ConnectionRefused(err):
 			return append(b.TargetEnded(now, addr), b.Unreachable(now, addr)...)
 		case err != nil:
 			return b.Unreachable(now, addr)
--- a/router/router.go
+++ b/router/router.go
@@ -208,7 +208,7 @@
 	r.adoption = fleet.NewAdoption(s.Validity, r.seedRouters == 0)
 	r.gossip = peer.NewGossip(peer.GossipConfig{
 		ID: r.id, Addr: s.Peers, Seeds: s.Seeds, Timeout: s.PeerTimeout, Seed: seed,
-		Payload: r.payload, Heard: r.heard, Crashes: peer.NewCrashTalk(r.CrashesSince, r.TakeCrashes),
+		Payload: r.payload, OnConfigStatus: r.heard, Crashes: peer.NewCrashGossip(r.CrashesSince, r.TakeCrashes),
 	}, r.peers, r.events)
 	r.counters = newCounters(r.metrics)
 	r.gauges()
--- a/router/service.go
+++ b/router/service.go
@@ -109,7 +109,7 @@
 		out.Kind = route.OutcomeUnsent
 	}
 	out.Closed = transport.ClosedByTarget(err)
-	out.Silent = errors.Is(err, transport.ErrSilent)
+	out.Silent = errors.Is(err, transport.ErrUnresponsive)
 	out.Detail = err.Error()
 	return out
 }
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -25,8 +25,8 @@
 	// userTimeout is how long sent bytes may stay unacknowledged. Machines that
 	// went dark are noticed by it; a lost packet is repeated after some 200 ms.
 	userTimeout = 900 * time.Millisecond
-	// keepAliveEvery is the pause between probes of a connection on which nothing moves.
-	keepAliveEvery = time.Second
+	// keepAliveInterval is the pause between probes of a connection on which nothing moves.
+	keepAliveInterval = time.Second
 	// defaultIdleTime is how long an unused connection is kept where the target names no time.
 	defaultIdleTime = 15 * time.Second
 	// idleMargin is how long before the time that a target names its connection is given up.
@@ -39,12 +39,12 @@
 var (
 	// ErrUnsent says that no byte of a request left.
 	ErrUnsent = errs.Tag("no byte was sent")
-	// ErrSilent says that the target's machine gave no sign of life.
-	ErrSilent = errs.Tag("the target's machine is silent")
+	// ErrUnresponsive says that the target's machine gave no sign of life.
+	ErrUnresponsive = errs.Tag("the target's machine is silent")
 )
 
-// NobodyListens reports whether an error says that no process listens at the target's address.
-func NobodyListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// ConnectionRefused reports whether an error says that no process listens at the target's address.
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // ClosedByTarget reports whether an error says that the target ended the connection, for
 // which it may have ended itself.
@@ -111,10 +111,10 @@
 	target netip.AddrPort
 	r      *bufio.Reader
 	// until is when an idle connection is given up.
-	until time.Time
-	// keptAt is when it was put back last.
-	keptAt time.Time
-	used   bool
+	expiresAt time.Time
+	// releasedAt is when it was put back last.
+	releasedAt time.Time
+	used       bool
 }
 
 // get returns a kept connection that is still good, or a new one.
@@ -124,7 +124,7 @@
 		if c == nil {
 			return p.dial(ctx, target)
 		}
-		if c.quiet() {
+		if c.noPendingInput() {
 			return c, nil
 		}
 		c.discard()
@@ -139,16 +139,16 @@
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
 		p.idle[target] = list
-		if p.now().Before(c.until) {
+		if p.now().Before(c.expiresAt) {
 			return c
 		}
-		p.forget(c)
+		p.closeLocked(c)
 	}
 	return nil
 }
 
-// forget closes a connection that is in no list; the caller holds the lock.
-func (p *Pool) forget(c *conn) {
+// closeLocked closes a connection that is in no list; the caller holds the lock.
+func (p *Pool) closeLocked(c *conn) {
 	if p.open[c.target]--; p.open[c.target] <= 0 {
 		delete(p.open, c.target)
 	}
@@ -167,7 +167,7 @@
 	d := net.Dialer{
 		Timeout:         p.dialTimeout,
 		Control:         setUserTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: 1},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 1},
 	}
 	nc, err := d.DialContext(ctx, "tcp", target.String())
 	if err != nil {
@@ -175,7 +175,7 @@
 		p.open[target]--
 		p.mu.Unlock()
 		if isTimeout(err) && ctx.Err() == nil {
-			return nil, ErrUnsent.Wrap(ErrSilent.Errorf("target %s: %w", target, err))
+			return nil, ErrUnsent.Wrap(ErrUnresponsive.Errorf("target %s: %w", target, err))
 		}
 		return nil, ErrUnsent.Errorf("target %s: %w", target, err)
 	}
@@ -200,9 +200,9 @@
 		errors.As(err, &ne) && ne.Timeout()
 }
 
-// quiet reports whether nothing has come on an idle connection: neither its end
+// noPendingInput reports whether nothing has come on an idle connection: neither its end
 // nor bytes that belong to no request.
-func (c *conn) quiet() bool {
+func (c *conn) noPendingInput() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -228,47 +228,47 @@
 func (c *conn) discard() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.pool.forget(c)
+	c.pool.closeLocked(c)
 }
 
-// keep puts the connection back for the next request, for at most d.
-func (c *conn) keep(d time.Duration) {
+// release puts the connection back for the next request, for at most d.
+func (c *conn) release(d time.Duration) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || d <= 0 || c.r.Buffered() > 0 {
-		p.forget(c)
+		p.closeLocked(c)
 		return
 	}
 	c.used = true
-	c.keptAt = p.now()
-	c.until = c.keptAt.Add(d)
+	c.releasedAt = p.now()
+	c.expiresAt = c.releasedAt.Add(d)
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// Reaches opens a connection to a target and keeps it for the next request. It
+// CheckReachable opens a connection to a target and keeps it for the next request. It
 // returns an error if the target's machine does not answer or takes none.
-func (p *Pool) Reaches(ctx context.Context, target netip.AddrPort) error {
+func (p *Pool) CheckReachable(ctx context.Context, target netip.AddrPort) error {
 	c, err := p.dial(ctx, target)
 	if err != nil {
 		return err
 	}
-	c.keep(defaultIdleTime)
+	c.release(defaultIdleTime)
 	return nil
 }
 
-// distrust closes the idle connections to a target on which nothing came since a
+// closeIdleSince closes the idle connections to a target on which nothing came since a
 // time. One that was in use since then has gone silent, and the others may have.
-func (p *Pool) distrust(target netip.AddrPort, since time.Time) {
+func (p *Pool) closeIdleSince(target netip.AddrPort, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[target][:0]
 	for _, c := range p.idle[target] {
-		if c.keptAt.After(since) {
+		if c.releasedAt.After(since) {
 			kept = append(kept, c)
 			continue
 		}
-		p.forget(c)
+		p.closeLocked(c)
 	}
 	if p.idle[target] = kept; len(kept) == 0 {
 		delete(p.idle, target)
@@ -283,11 +283,11 @@
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) && wanted(target) {
+			if now.Before(c.expiresAt) && wanted(target) {
 				kept = append(kept, c)
 				continue
 			}
-			p.forget(c)
+			p.closeLocked(c)
 		}
 		if p.idle[target] = kept; len(kept) == 0 {
 			delete(p.idle, target)
--- a/transport/rest.go
+++ b/transport/rest.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// mostRest bounds the rest that a target may ask for.
-const mostRest = time.Hour
+// maxRetryAfter bounds the rest that a target may ask for.
+const maxRetryAfter = time.Hour
 
 // RetryAfter reads for how long a target that turned a request away wants none: seconds or a date (RFC 9110,
 // 10.2.3), which is held against the target's own clock where it tells the time. It is zero where the target
@@ -19,14 +19,14 @@
 	}
 	rest := time.Duration(0)
 	for _, value := range h["Retry-After"] {
-		rest = max(rest, restOf(strings.TrimSpace(value), now))
+		rest = max(rest, parseRetryAfter(strings.TrimSpace(value), now))
 	}
-	return min(rest, mostRest)
+	return min(rest, maxRetryAfter)
 }
 
-func restOf(value string, now time.Time) time.Duration {
+func parseRetryAfter(value string, now time.Time) time.Duration {
 	if s, err := strconv.ParseFloat(value, 64); err == nil && s > 0 {
-		return time.Duration(min(s, mostRest.Seconds()) * float64(time.Second))
+		return time.Duration(min(s, maxRetryAfter.Seconds()) * float64(time.Second))
 	}
 	if until, err := http.ParseTime(value); err == nil {
 		return until.Sub(now)
--- a/transport/send.go
+++ b/transport/send.go
@@ -25,7 +25,7 @@
 	Header http.Header
 	Body   []byte
 	// Own reports whether an answer belongs to this request; nil takes every answer.
-	Own func(http.Header) bool
+	Matches func(http.Header) bool
 	// Fresh asks for a new connection that no other request uses. A write into a
 	// kept one that the target has just closed is not known to have failed unsent.
 	Fresh bool
@@ -38,9 +38,9 @@
 	Body   io.ReadCloser
 }
 
-// maxSurplus is the number of answers to other requests that are skipped before
+// maxForeignAnswers is the number of answers to other requests that are skipped before
 // a connection is given up.
-const maxSurplus = 3
+const maxForeignAnswers = 3
 
 // Send sends a request once and returns the head of its answer. An error wraps
 // [ErrUnsent] if no byte of the request left; after any other the target may have
@@ -61,19 +61,19 @@
 		c.discard()
 		return nil, ErrUnsent.Errorf("target %s: this process stood still for some %s", req.Target, took.Round(time.Millisecond))
 	}
-	x := &exchange{conn: c, ctx: ctx, fresh: req.Fresh, begun: p.now()}
+	x := &exchange{conn: c, ctx: ctx, fresh: req.Fresh, startedAt: p.now()}
 	x.stop = context.AfterFunc(ctx, func() {
 		// A connection whose deadline cannot be set is closed already.
 		_ = c.SetDeadline(time.Unix(1, 0))
 	})
 	if err := x.write(req); err != nil {
-		x.drop()
+		x.abort()
 		return nil, err
 	}
 	resp, err := x.readHead(req)
 	if err != nil {
-		x.drop()
-		return nil, x.explain(req.Target, err)
+		x.abort()
+		return nil, x.classifyError(req.Target, err)
 	}
 	return resp, nil
 }
@@ -84,7 +84,7 @@
 	ctx  context.Context
 	stop func() bool
 	// begun is when the exchange began.
-	begun time.Time
+	startedAt time.Time
 	// written is 1 once the whole request was written.
 	written atomic.Bool
 	wrote   chan struct{}
@@ -148,7 +148,7 @@
 
 // readHead reads heads until one belongs to the request.
 func (x *exchange) readHead(req Request) (*Response, error) {
-	for range maxSurplus {
+	for range maxForeignAnswers {
 		resp, err := http.ReadResponse(x.conn.r, &http.Request{Method: req.Method})
 		if err != nil {
 			return nil, err
@@ -156,38 +156,38 @@
 		switch {
 		case resp.StatusCode < 200:
 			continue
-		case req.Own == nil || req.Own(resp.Header):
+		case req.Matches == nil || req.Matches(resp.Header):
 			return &Response{Status: resp.StatusCode, Header: resp.Header, Body: &body{exchange: x, resp: resp}}, nil
 		case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-			return nil, errForeign.Errorf("an answer to another request ends with its connection")
+			return nil, errForeignAnswer.Errorf("an answer to another request ends with its connection")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errForeign.Errorf("more than %d answers to other requests", maxSurplus)
+	return nil, errForeignAnswer.Errorf("more than %d answers to other requests", maxForeignAnswers)
 }
 
-var errForeign = errs.Tag("answers to other requests")
+var errForeignAnswer = errs.Tag("answers to other requests")
 
-// explain says what an error on the connection means. Where nothing came in time,
+// classifyError says what an error on the connection means. Where nothing came in time,
 // as opposed to a caller that left, the target's idle connections may be silent too.
-func (x *exchange) explain(target netip.AddrPort, err error) error {
+func (x *exchange) classifyError(target netip.AddrPort, err error) error {
 	switch cause := context.Cause(x.ctx); {
 	case cause != nil:
 		if !errors.Is(cause, context.Canceled) {
-			x.conn.pool.distrust(target, x.begun)
+			x.conn.pool.closeIdleSince(target, x.startedAt)
 		}
 		return errs.Errorf("target %s: %w", target, cause)
 	case isTimeout(err):
-		x.conn.pool.distrust(target, x.begun)
-		return ErrSilent.Errorf("target %s: %w", target, err)
+		x.conn.pool.closeIdleSince(target, x.startedAt)
+		return ErrUnresponsive.Errorf("target %s: %w", target, err)
 	}
 	return errs.Errorf("target %s: %w", target, err)
 }
 
-// drop ends the exchange and its connection.
-func (x *exchange) drop() {
+// abort ends the exchange and its connection.
+func (x *exchange) abort() {
 	if x.done {
 		return
 	}
@@ -207,11 +207,11 @@
 	}
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	if !x.written.Load() || x.fresh || resp.Close || unframed || !x.stop() {
-		x.drop()
+		x.abort()
 		return
 	}
 	x.done = true
-	x.conn.keep(idleTime(resp.Header))
+	x.conn.release(idleTime(resp.Header))
 }
 
 // idleTime is how long a connection may be kept by what the target says of it.
@@ -241,15 +241,15 @@
 	case errors.Is(err, io.EOF):
 		b.exchange.finish(b.resp)
 	case err != nil:
-		err = b.exchange.explain(b.exchange.conn.target, err)
-		b.exchange.drop()
+		err = b.exchange.classifyError(b.exchange.conn.target, err)
+		b.exchange.abort()
 	}
 	return n, err
 }
 
 // Close implements [io.Closer]; an answer that was not read to its end ends its connection.
 func (b *body) Close() error {
-	b.exchange.drop()
+	b.exchange.abort()
 	return nil
 }
 
--- a/transport/silent_test.go
+++ b/transport/silent_test.go
@@ -15,39 +15,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// muteProxy stands before a target. Once it is muted, the connections that are
+// stallProxy stands before a target. Once it is muted, the connections that are
 // open stay open and pass nothing on any more, while new ones work.
-type muteProxy struct {
+type stallProxy struct {
 	addr   netip.AddrPort
 	opened atomic.Int64
 
-	mu    sync.Mutex
-	muted chan struct{}
+	mu      sync.Mutex
+	stalled chan struct{}
 	// passing counts the connections that may still pass something on.
-	passing sync.WaitGroup
+	forwarding sync.WaitGroup
 }
 
-// mute silences the connections that are open; once it returns they pass nothing on.
-func (m *muteProxy) mute() {
+// stall silences the connections that are open; once it returns they pass nothing on.
+func (m *stallProxy) stall() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	close(m.muted)
-	m.passing.Wait()
-	m.muted = make(chan struct{})
+	close(m.stalled)
+	m.forwarding.Wait()
+	m.stalled = make(chan struct{})
 }
 
-func startMuteProxy(t *testing.T, target netip.AddrPort) *muteProxy {
-	m := &muteProxy{muted: make(chan struct{})}
+func startStallProxy(t *testing.T, target netip.AddrPort) *stallProxy {
+	m := &stallProxy{stalled: make(chan struct{})}
 	m.addr = accept(t, func(c net.Conn) {
 		m.opened.Add(1)
 		m.mu.Lock()
-		muted := m.muted
-		m.passing.Add(1)
+		muted := m.stalled
+		m.forwarding.Add(1)
 		m.mu.Unlock()
-		m.pass(c, target, muted)
+		m.forward(c, target, muted)
 	})
 	// It runs before the cleanup of accept, which waits for all connections.
-	t.Cleanup(m.mute)
+	t.Cleanup(m.stall)
 	return m
 }
 
@@ -72,12 +72,12 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// pass connects a connection with the target until it is muted; then it is only held open.
-func (m *muteProxy) pass(c net.Conn, target netip.AddrPort, muted chan struct{}) {
+// forward connects a connection with the target until it is muted; then it is only held open.
+func (m *stallProxy) forward(c net.Conn, target netip.AddrPort, muted chan struct{}) {
 	defer c.Close()
 	up, err := net.Dial("tcp4", target.String())
 	if err != nil {
-		m.passing.Done()
+		m.forwarding.Done()
 		return
 	}
 	defer up.Close()
@@ -91,7 +91,7 @@
 		_ = end.SetDeadline(past)
 	}
 	copies.Wait()
-	m.passing.Done()
+	m.forwarding.Done()
 	_ = c.SetDeadline(time.Time{})
 	_, _ = io.Copy(io.Discard, c)
 }
@@ -107,12 +107,12 @@
 	})
 }
 
-var errImpatient = errors.New("nothing came in time")
+var errNoAnswerInTime = errors.New("nothing came in time")
 
 // sendWithin sends a request that is given up after a time without an answer.
 func sendWithin(t *testing.T, p *Pool, target netip.AddrPort, d time.Duration) error {
 	ctx, cancel := context.WithCancelCause(t.Context())
-	timer := time.AfterFunc(d, func() { cancel(errImpatient) })
+	timer := time.AfterFunc(d, func() { cancel(errNoAnswerInTime) })
 	defer timer.Stop()
 	defer cancel(nil)
 	resp, err := p.Send(ctx, request(target, "a", "body"))
@@ -124,10 +124,10 @@
 	return err
 }
 
-// TestSilentKept checks that of several kept connections that have all gone silent
+// TestStalledIdleConnsClosed checks that of several kept connections that have all gone silent
 // only one costs a request: what was kept before that one was used is not used again.
-func TestSilentKept(t *testing.T) {
-	proxy := startMuteProxy(t, serveAll(t))
+func TestStalledIdleConnsClosed(t *testing.T) {
+	proxy := startStallProxy(t, serveAll(t))
 	p := NewPool()
 	defer p.Close()
 	const kept = 4
@@ -142,15 +142,15 @@
 		require.NoError(t, err)
 	}
 	require.EqualValues(t, kept, proxy.opened.Load())
-	proxy.mute()
-	require.ErrorIs(t, sendWithin(t, p, proxy.addr, 50*time.Millisecond), errImpatient)
+	proxy.stall()
+	require.ErrorIs(t, sendWithin(t, p, proxy.addr, 50*time.Millisecond), errNoAnswerInTime)
 	require.NoError(t, sendWithin(t, p, proxy.addr, 10*time.Second))
 	require.EqualValues(t, kept+1, proxy.opened.Load())
 }
 
-// TestSilentGivenUp checks that a caller who leaves says nothing of the target's connections.
-func TestSilentGivenUp(t *testing.T) {
-	proxy := startMuteProxy(t, serveAll(t))
+// TestCancelKeepsIdleConns checks that a caller who leaves says nothing of the target's connections.
+func TestCancelKeepsIdleConns(t *testing.T) {
+	proxy := startStallProxy(t, serveAll(t))
 	p := NewPool()
 	defer p.Close()
 	require.NoError(t, sendWithin(t, p, proxy.addr, 10*time.Second))
@@ -160,18 +160,18 @@
 	cancel()
 	_, err = p.Send(ctx, request(proxy.addr, "a", "body"))
 	require.Error(t, err)
-	held.keep(time.Minute)
+	held.release(time.Minute)
 	require.NoError(t, sendWithin(t, p, proxy.addr, 10*time.Second))
 	require.EqualValues(t, 1, proxy.opened.Load())
 }
 
-// TestReaches checks that a target is found to be reached by a connection that is
+// TestCheckReachable checks that a target is found to be reached by a connection that is
 // kept for the next request.
-func TestReaches(t *testing.T) {
+func TestCheckReachable(t *testing.T) {
 	target := serveAll(t)
 	p := NewPool()
 	defer p.Close()
-	require.NoError(t, p.Reaches(t.Context(), target))
+	require.NoError(t, p.CheckReachable(t.Context(), target))
 	require.Len(t, p.idle[target], 1)
-	require.Error(t, p.Reaches(t.Context(), netip.MustParseAddrPort("127.0.0.1:1")))
+	require.Error(t, p.CheckReachable(t.Context(), netip.MustParseAddrPort("127.0.0.1:1")))
 }
--- a/transport/still_test.go
+++ b/transport/still_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoodStill checks that a process which stood still while a connection was opened
+// TestProcessSuspendedWhileDialing checks that a process which stood still while a connection was opened
 // sends nothing on it: what the caller checked before, and the time that it worked out
 // as left, may hold no more. The next request goes out on a connection as any other.
-func TestStoodStill(t *testing.T) {
+func TestProcessSuspendedWhileDialing(t *testing.T) {
 	const longest = 100 * time.Millisecond
 	var asked atomic.Int64
 	target := accept(t, func(c net.Conn) {
@@ -37,7 +37,7 @@
 	defer p.Close()
 	_, err := get(t, p, request(target, "a", "body"))
 	require.ErrorIs(t, err, ErrUnsent)
-	require.NotErrorIs(t, err, ErrSilent, "the target is not to blame")
+	require.NotErrorIs(t, err, ErrUnresponsive, "the target is not to blame")
 	require.Zero(t, asked.Load())
 	still.Store(false)
 	_, err = get(t, p, request(target, "a", "body"))
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -45,7 +45,7 @@
 func request(target netip.AddrPort, id string, body string) Request {
 	return Request{
 		Target: target, Method: http.MethodPost, URI: "/x//y?q=%20", Host: "h", Body: []byte(body),
-		Header: http.Header{"X-Id": {id}}, Own: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Header: http.Header{"X-Id": {id}}, Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // A kept connection is used again only while nothing has come on it, and a request
 // is never sent a second time.
-func TestKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	answered, surplus := make(chan struct{}), make(chan struct{})
 	target := serve(t,
 		func(r *bufio.Reader, c net.Conn) {
--- a/wire/answer.go
+++ b/wire/answer.go
@@ -17,7 +17,7 @@
 	w       http.ResponseWriter
 	comp    *Completion
 	request string
-	begun   bool
+	started bool
 	// attempt is the first whose chunks were passed on; later ones' chunks take
 	// its id, and a whole answer what else stands in its first chunk.
 	attempt string
@@ -42,11 +42,11 @@
 	if c.Usage != nil && !a.comp.WantUsage {
 		return nil
 	}
-	data, err := a.sameID(c)
+	data, err := a.withFirstID(c)
 	if err != nil {
 		return err
 	}
-	a.begin()
+	a.writeHeader()
 	if _, err := a.w.Write(eventLine(data)); err != nil {
 		return err
 	}
@@ -61,9 +61,9 @@
 	return append(line, "\n\n"...)
 }
 
-// sameID returns a chunk's JSON, with the id of the answer's first chunks where it is resumed.
-func (a *answer) sameID(c route.Chunk) ([]byte, error) {
-	a.remember(c)
+// withFirstID returns a chunk's JSON, with the id of the answer's first chunks where it is resumed.
+func (a *answer) withFirstID(c route.Chunk) ([]byte, error) {
+	a.recordFirst(c)
 	if a.attempt == c.Attempt {
 		return c.Data, nil
 	}
@@ -75,19 +75,19 @@
 	return json.Marshal(fields)
 }
 
-// remember keeps the answer's first chunk.
-func (a *answer) remember(c route.Chunk) {
+// recordFirst keeps the answer's first chunk.
+func (a *answer) recordFirst(c route.Chunk) {
 	if !a.first.Exists() {
 		a.attempt = c.Attempt
 		a.first = gjson.ParseBytes(c.Data)
 	}
 }
 
-func (a *answer) begin() {
-	if a.begun {
+func (a *answer) writeHeader() {
+	if a.started {
 		return
 	}
-	a.begun = true
+	a.started = true
 	h := a.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -101,7 +101,7 @@
 
 // collect keeps a chunk's text for [answer.End].
 func (a *answer) collect(c route.Chunk) {
-	a.remember(c)
+	a.recordFirst(c)
 	a.text = append(a.text, c.Text...)
 	if c.Finish {
 		a.reason = &c.Reason
@@ -113,7 +113,7 @@
 	if !a.comp.Stream {
 		return a.writeCollected(u)
 	}
-	a.begin()
+	a.writeHeader()
 	_, err := a.w.Write(eventLine([]byte("[DONE]")))
 	a.flush()
 	return err
@@ -182,7 +182,7 @@
 // its last event and the connection is cut without the finish mark, so that no
 // client takes what it has for the whole.
 func (a *answer) Fail(f route.Refusal) {
-	if !a.begun {
+	if !a.started {
 		a.w.Header().Set("X-Request-Id", a.request)
 		writeRefusal(a.w, f)
 		return
--- a/wire/openai.go
+++ b/wire/openai.go
@@ -96,9 +96,9 @@
 		"model":                 func(r gjson.Result) bool { return r.Type == gjson.String },
 		"stream":                gjson.Result.IsBool,
 		"stream_options":        gjson.Result.IsObject,
-		"max_tokens":            isWhole,
-		"max_completion_tokens": isWhole,
-		"n":                     isWhole,
+		"max_tokens":            isInteger,
+		"max_completion_tokens": isInteger,
+		"n":                     isInteger,
 	} {
 		if v := c.get(name); v.Exists() && !isRight(v) {
 			return errs.Errorf("%s is of a wrong type", name)
@@ -122,11 +122,11 @@
 	return nil
 }
 
-// maxWhole bounds the numbers of tokens and choices that are read.
-const maxWhole = 1 << 30
+// maxInteger bounds the numbers of tokens and choices that are read.
+const maxInteger = 1 << 30
 
-func isWhole(r gjson.Result) bool {
-	return r.Type == gjson.Number && r.Num == math.Trunc(r.Num) && math.Abs(r.Num) <= maxWhole
+func isInteger(r gjson.Result) bool {
+	return r.Type == gjson.Number && r.Num == math.Trunc(r.Num) && math.Abs(r.Num) <= maxInteger
 }
 
 func (c *Completion) hasAny(names []string) bool {
@@ -210,10 +210,10 @@
 		return nil, errs.Wrap(err)
 	}
 	var b bytes.Buffer
-	b.Grow(len(c.Text) + len(tail) + bodyRoom)
+	b.Grow(len(c.Text) + len(tail) + bodyOverhead)
 	b.WriteByte('{')
 	for _, f := range c.fields {
-		if routerSets[f.name] {
+		if routerFields[f.name] {
 			continue
 		}
 		key, err := json.Marshal(f.name)
@@ -229,10 +229,10 @@
 	return b.Bytes(), nil
 }
 
-// bodyRoom is the room for fields and escapes besides the prompt, in bytes.
-const bodyRoom = 2048
+// bodyOverhead is the room for fields and escapes besides the prompt, in bytes.
+const bodyOverhead = 2048
 
-// routerSets names the fields that Body replaces.
-var routerSets = map[string]bool{
+// routerFields names the fields that Body replaces.
+var routerFields = map[string]bool{
 	"cache_salt": true, "priority": true, "stream": true, "stream_options": true, "resume": true,
 }
--- a/wire/protocol.go
+++ b/wire/protocol.go
@@ -114,15 +114,15 @@
 		Weights:     resp.Header.Get(HeaderWeights),
 		Attempt:     resp.Header.Get(HeaderAttempt),
 		NotRun:      resp.Header.Get(HeaderRan) == RanNo,
-		Said:        said(resp.Status, resp.Header),
+		Said:        refusalHints(resp.Status, resp.Header),
 		ContentType: resp.Header.Get("Content-Type"),
 		Body:        resp.Body,
 		Chunks:      NewEventReader(resp.Body).Next,
 	}, nil
 }
 
-// said reads what an answer says of its target: engines and gateways that are full name the time to come back.
-func said(status int, h http.Header) (s route.Said) {
+// refusalHints reads what an answer says of its target: engines and gateways that are full name the time to come back.
+func refusalHints(status int, h http.Header) (s route.Said) {
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		s.Rest = transport.RetryAfter(h, time.Now())
 	}
--- a/wire/table.go
+++ b/wire/table.go
@@ -83,7 +83,7 @@
 	if len(out.Item) == 0 {
 		return fleet.Row{}, false, nil
 	}
-	row, err := rowOf(out.Item)
+	row, err := decodeRow(out.Item)
 	return row, err == nil, err
 }
 
@@ -108,7 +108,7 @@
 	}
 	rows := make([]fleet.Row, 0, len(out.Items))
 	for _, item := range out.Items {
-		row, err := rowOf(item)
+		row, err := decodeRow(item)
 		if err != nil {
 			return nil, err
 		}
@@ -141,14 +141,14 @@
 func (t *DynamoTable) put(w fleet.Write) *types.Put {
 	item := itemKey(w.Part, w.Sort)
 	item[attrData] = &types.AttributeValueMemberB{Value: w.Data}
-	item[attrRev] = numberOf(w.If + 1)
+	item[attrRev] = numberAttr(w.If + 1)
 	put := &types.Put{TableName: aws.String(t.name), Item: item}
 	if w.If == 0 {
 		put.ConditionExpression = aws.String("attribute_not_exists(p)")
 		return put
 	}
 	put.ConditionExpression = aws.String("v = :v")
-	put.ExpressionAttributeValues = map[string]types.AttributeValue{":v": numberOf(w.If)}
+	put.ExpressionAttributeValues = map[string]types.AttributeValue{":v": numberAttr(w.If)}
 	return put
 }
 
@@ -168,11 +168,11 @@
 	}
 }
 
-func numberOf(n int64) *types.AttributeValueMemberN {
+func numberAttr(n int64) *types.AttributeValueMemberN {
 	return &types.AttributeValueMemberN{Value: strconv.FormatInt(n, 10)}
 }
 
-func rowOf(item map[string]types.AttributeValue) (fleet.Row, error) {
+func decodeRow(item map[string]types.AttributeValue) (fleet.Row, error) {
 	part, ok1 := item[attrPart].(*types.AttributeValueMemberS)
 	sort, ok2 := item[attrSort].(*types.AttributeValueMemberS)
 	data, ok3 := item[attrData].(*types.AttributeValueMemberB)
