--- a/cmd/pathheadctl/main.go
+++ b/cmd/pathheadctl/main.go
@@ -196,7 +196,7 @@
 	switch {
 	case errors.Is(err, fleet.ErrSuperseded):
 		return cli.ExitConflict
-	case errors.Is(err, fleet.ErrUnsettled):
+	case errors.Is(err, fleet.ErrOutcomeUnknown):
 		return cli.ExitUnknown
 	}
 	return cli.ExitFailed
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -131,7 +131,7 @@
 	c.events = event.New(s.Name, event.WithLogger(c.log))
 	c.gossip = peer.NewGossip(peer.GossipConfig{
 		ID: s.Name, Addr: s.Peers, Seeds: s.Seeds, Timeout: s.PeerTimeout,
-		Payload: c.payload, OnConfigStatus: func(time.Time, fleet.PeerWord) {},
+		Payload: c.payload, OnConfigStatus: func(time.Time, fleet.ConfigStatus) {},
 	}, c.peers, c.events)
 	c.metrics.NewGauge("pathhead_fleet_leases_held", func() float64 { return float64(c.leasesHeld()) })
 	return c, nil
@@ -287,7 +287,7 @@
 func (c *Controller) tellStops(pool string, w *poolWork) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for r, why := range w.planner.Stops() {
+	for r, why := range w.planner.StoppedRollouts() {
 		if !w.told[r] {
 			w.told[r] = true
 			c.events.Record(event.Event{Code: event.RolloutStopped, Revision: c.document.Revision, Detail: pool + " to " + r.Model + " " + r.Weights + ": " + why})
@@ -299,7 +299,7 @@
 func (c *Controller) payload(now time.Time) peer.Payload {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := peer.Payload{Kind: peer.KindFleet, Door: c.set.Operators, Word: fleet.PeerWord{Revision: c.document.Revision, ConfirmedAge: -1}}
+	p := peer.Payload{Kind: peer.KindFleet, Door: c.set.Operators, Word: fleet.ConfigStatus{Revision: c.document.Revision, ConfirmedAge: -1}}
 	for _, w := range c.pools {
 		if w.lease.Holds(now) {
 			p.State.Holds = append(p.State.Holds, marksOf(w.steps.Holds)...)
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -40,7 +40,7 @@
 		return
 	}
 	c.mu.Lock()
-	if err := w.lease.Read(time.Now(), row, ok); err != nil && !errors.Is(err, fleet.ErrLeaseUnread) {
+	if err := w.lease.HandleRead(time.Now(), row, ok); err != nil && !errors.Is(err, fleet.ErrLeaseInvalid) {
 		c.mu.Unlock()
 		return
 	}
@@ -53,7 +53,7 @@
 	rev, err := c.table.Commit(ctx, token, write)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.lease.Wrote(time.Now(), rev, err)
+	w.lease.HandleWrite(time.Now(), rev, err)
 }
 
 // noteLease records a change of holding; a lost lease ends all changes under way.
@@ -70,7 +70,7 @@
 		c.events.Record(event.Event{Code: event.LeaseTaken, Detail: detail})
 		return
 	}
-	w.planner.Forget()
+	w.planner.Reset()
 	w.steps = fleet.Steps{}
 	c.events.Record(event.Event{Code: event.LeaseLost, Detail: detail})
 }
@@ -94,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range c.pools {
-		if write, ok := w.lease.Free(time.Now()); ok {
+		if write, ok := w.lease.Release(time.Now()); ok {
 			if _, err := c.table.Commit(ctx, rand.Text(), write); err != nil {
 				c.log.Warn("a lease was not given up; it runs out by itself", "pool", w.lease.Name(), "error", err)
 			}
--- a/controller/status.go
+++ b/controller/status.go
@@ -81,7 +81,7 @@
 	}
 	out.Blocked = w.planner.Blocked()
 	out.Stopped = make(map[string]string)
-	for r, why := range w.planner.Stops() {
+	for r, why := range w.planner.StoppedRollouts() {
 		out.Stopped[r.Model+" "+r.Weights] = why
 	}
 	return out
--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -29,7 +29,7 @@
 
 // Apply offers a file as the next revision. It returns an error wrapping
 // [fleet.ErrSuperseded] if another operator came first and
-// [fleet.ErrUnsettled] if the platform did not say.
+// [fleet.ErrOutcomeUnknown] if the platform did not say.
 func (t *Tool) Apply(ctx context.Context, o ApplyOptions) error {
 	text, err := os.ReadFile(o.File)
 	if err != nil {
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -21,22 +21,22 @@
 	cancelled map[string]bool
 }
 
-// actionsHeld is the number of actions a call can have waiting: a Send or a
+// actionBuffer is the number of actions a call can have waiting: a Send or a
 // Refuse per attempt at most, and there is one attempt at a time.
-const actionsHeld = 4
+const actionBuffer = 4
 
 // NewCall returns a call with a new id.
 func NewCall() *Call {
 	return &Call{
 		ID:        NewID(),
-		actions:   make(chan route.Action, actionsHeld),
+		actions:   make(chan route.Action, actionBuffer),
 		cancels:   make(map[string]context.CancelFunc),
 		cancelled: make(map[string]bool),
 	}
 }
 
-// NamedCall returns a call whose request is named by its caller.
-func NamedCall(id string) *Call {
+// NewCallWithID returns a call whose request is named by its caller.
+func NewCallWithID(id string) *Call {
 	c := NewCall()
 	if id != "" {
 		c.ID = id
@@ -53,8 +53,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// push hands an action to the call; a call that is over takes none.
-func (c *Call) push(a route.Action) {
+// deliver hands an action to the call; a call that is over takes none.
+func (c *Call) deliver(a route.Action) {
 	if c != nil {
 		c.actions <- a
 	}
@@ -89,14 +89,14 @@
 // that ended it, or nil if it was answered or its caller left.
 func (d *Driver) Serve(ctx context.Context, req route.Request, c *Call, send Sender) *route.Refusal {
 	d.arrive(req, c)
-	defer d.leave(c)
+	defer d.removeCall(c)
 	for {
 		select {
 		case <-ctx.Done():
-			d.gone(c)
+			d.callerGone(c)
 			return nil
 		case a := <-c.actions:
-			refusal, over := d.act(ctx, c, a, send)
+			refusal, over := d.execute(ctx, c, a, send)
 			if over {
 				return refusal
 			}
@@ -112,23 +112,23 @@
 	}
 	req.ID = c.ID
 	d.calls[c.ID] = c
-	d.arriving()
+	d.onArrival()
 	d.mu.Unlock()
 	d.Do(func(b *route.Board, now time.Time) []route.Action { return b.Arrive(now, req) })
 }
 
-func (d *Driver) leave(c *Call) {
+func (d *Driver) removeCall(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.calls, c.ID)
 }
 
-func (d *Driver) gone(c *Call) {
+func (d *Driver) callerGone(c *Call) {
 	d.Do(func(b *route.Board, now time.Time) []route.Action { return b.CallerGone(now, c.ID) })
 }
 
-// act carries out one action; over says that the request has ended.
-func (d *Driver) act(ctx context.Context, c *Call, a route.Action, send Sender) (refusal *route.Refusal, over bool) {
+// execute carries out one action; over says that the request has ended.
+func (d *Driver) execute(ctx context.Context, c *Call, a route.Action, send Sender) (refusal *route.Refusal, over bool) {
 	switch a := a.(type) {
 	case route.Refuse:
 		return &a.Refusal, true
@@ -137,10 +137,10 @@
 		outcome := send(attemptCtx, a.Attempt)
 		cancel()
 		if ctx.Err() != nil && outcome.Kind != route.OutcomeDone {
-			d.gone(c)
+			d.callerGone(c)
 			return nil, true
 		}
-		d.ended(outcome.Kind)
+		d.onAttemptEnd(outcome.Kind)
 		d.Do(func(b *route.Board, now time.Time) []route.Action { return b.Ended(now, outcome) })
 		return nil, outcome.Kind == route.OutcomeDone
 	}
--- a/dispatch/driver.go
+++ b/dispatch/driver.go
@@ -12,16 +12,16 @@
 // Driver owns a board and the calls whose requests are on it. Its lock guards the
 // board; state that must change together with the board may be kept under it too.
 type Driver struct {
-	mu       sync.Mutex
-	board    *route.Board
-	calls    map[string]*Call
-	export   func(route.Export)
-	arriving func()
-	ended    func(route.OutcomeKind)
-	now      clock.Clock
+	mu           sync.Mutex
+	board        *route.Board
+	calls        map[string]*Call
+	export       func(route.Export)
+	onArrival    func()
+	onAttemptEnd func(route.OutcomeKind)
+	now          clock.Clock
 	// idle says that the next tick is a slow one, busy wakes the ticking when a request comes then.
 	idle bool
-	busy chan struct{}
+	wake chan struct{}
 }
 
 // Option changes a [Driver] at its construction.
@@ -32,14 +32,14 @@
 	return func(d *Driver) { d.export = f }
 }
 
-// WithArriving sets a function that is called under the lock before each request arrives on the board.
-func WithArriving(f func()) Option {
-	return func(d *Driver) { d.arriving = f }
+// WithArrivalHook sets a function that is called under the lock before each request arrives on the board.
+func WithArrivalHook(f func()) Option {
+	return func(d *Driver) { d.onArrival = f }
 }
 
-// WithEnded sets a function that hears how each attempt ended.
-func WithEnded(f func(route.OutcomeKind)) Option {
-	return func(d *Driver) { d.ended = f }
+// WithAttemptEndHook sets a function that hears how each attempt ended.
+func WithAttemptEndHook(f func(route.OutcomeKind)) Option {
+	return func(d *Driver) { d.onAttemptEnd = f }
 }
 
 // WithClock sets the clock that the board's time is told by.
@@ -50,13 +50,13 @@
 // New returns a driver of a board.
 func New(b *route.Board, opts ...Option) *Driver {
 	d := &Driver{
-		board:    b,
-		calls:    make(map[string]*Call),
-		export:   func(route.Export) {},
-		arriving: func() {},
-		ended:    func(route.OutcomeKind) {},
-		now:      clock.Steady,
-		busy:     make(chan struct{}, 1),
+		board:        b,
+		calls:        make(map[string]*Call),
+		export:       func(route.Export) {},
+		onArrival:    func() {},
+		onAttemptEnd: func(route.OutcomeKind) {},
+		now:          clock.Steady,
+		wake:         make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(d)
@@ -83,7 +83,7 @@
 	if d.idle && d.board.Requests() > 0 {
 		d.idle = false
 		select {
-		case d.busy <- struct{}{}:
+		case d.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -92,9 +92,9 @@
 func (d *Driver) deliver(a route.Action) {
 	switch a := a.(type) {
 	case route.Send:
-		d.calls[a.Attempt.Request].push(a)
+		d.calls[a.Attempt.Request].deliver(a)
 	case route.Refuse:
-		d.calls[a.Request].push(a)
+		d.calls[a.Request].deliver(a)
 	case route.Export:
 		d.export(a)
 	case route.Finish:
@@ -119,7 +119,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.busy:
+		case <-d.wake:
 			t.Reset(every)
 			continue
 		case <-t.C:
@@ -129,15 +129,15 @@
 	}
 }
 
-// idleTicks is how many times longer a board without requests waits for its next tick.
-const idleTicks = 12
+// idleTickFactor is how many times longer a board without requests waits for its next tick.
+const idleTickFactor = 12
 
 // nextTick returns the time until the next tick.
 func (d *Driver) nextTick(every time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.idle = d.board.Requests() == 0; d.idle {
-		return idleTicks * every
+		return idleTickFactor * every
 	}
 	return every
 }
--- a/dispatch/ports.go
+++ b/dispatch/ports.go
@@ -42,8 +42,8 @@
 	CallKey string
 }
 
-// Asked is what a caller asks of a model.
-type Asked struct {
+// CompletionParams is what a caller asks of a model.
+type CompletionParams struct {
 	Model string
 	// Stream says that the caller wants the answer as a stream.
 	Stream    bool
@@ -52,21 +52,21 @@
 	Text   []byte
 	Bounds []int
 	// Plain says that the answer is one text, so that a broken one can be resumed.
-	Plain bool
+	SingleText bool
 }
 
 // Completion is a caller's request to a model that was read.
 type Completion interface {
 	// Ask returns what the caller asks for.
-	Ask() Asked
+	Ask() CompletionParams
 	// Send sends an attempt. An error wraps [transport.ErrUnsent] if no byte of it left.
-	Send(ctx context.Context, a route.Attempt, s Sending) (*Reply, error)
+	Send(ctx context.Context, a route.Attempt, s SendOptions) (*Reply, error)
 	// Answer returns the writer of the caller's answer; request is the request's id.
 	Answer(w http.ResponseWriter, request string) Answer
 }
 
-// Sending is what a router adds to a request on its way to an engine.
-type Sending struct {
+// SendOptions is what a router adds to a request on its way to an engine.
+type SendOptions struct {
 	Priority int
 	Stream   bool
 	// Resume says that the answer goes on after Text, which was delivered in Tokens chunks.
@@ -99,7 +99,7 @@
 	// NotRun says that the target did not run the request, by its own word.
 	NotRun bool
 	// Said is what the target says of itself.
-	Said        route.Said
+	Reported    route.Said
 	ContentType string
 	Body        io.ReadCloser
 	// Chunks reads the body as a stream of chunks; at its end without a finish
@@ -115,7 +115,7 @@
 	Header http.Header
 	Body   []byte
 	// Once says that the call may run at most once.
-	Once bool
+	AtMostOnce bool
 }
 
 // ServiceAnswer is a plain service's whole answer.
--- a/fleet/adoption.go
+++ b/fleet/adoption.go
@@ -9,20 +9,20 @@
 // serve an old revision unawares. While the table is out for everyone nothing
 // new can be accepted, and hearing of that from a peer is good for serving on.
 type Adoption struct {
-	validity time.Duration
-	grace    time.Duration
-	alone    bool
-	strict   bool
+	validity   time.Duration
+	grace      time.Duration
+	standalone bool
+	strict     bool
 
 	revision int64
 	known    int64
 	// current is the last moment of which it is known that nothing newer than revision
 	// was in force, confirmed the same of known. They differ while a newer revision is
 	// known and not served under: its confirmations say nothing good of the older one.
-	current   time.Time
-	confirmed time.Time
-	heard     time.Time
-	tableDown bool
+	current        time.Time
+	confirmed      time.Time
+	outageReported time.Time
+	tableDown      bool
 }
 
 // AdoptionOption changes an [Adoption] at its construction.
@@ -37,8 +37,8 @@
 }
 
 // NewAdoption returns the state of a router that knows nothing; alone says that it has no peers by its settings.
-func NewAdoption(validity time.Duration, alone bool, opts ...AdoptionOption) *Adoption {
-	a := &Adoption{validity: validity, alone: alone}
+func NewAdoption(validity time.Duration, standalone bool, opts ...AdoptionOption) *Adoption {
+	a := &Adoption{validity: validity, standalone: standalone}
 	for _, opt := range opts {
 		opt(a)
 	}
@@ -52,11 +52,11 @@
 // Confirm takes the newest revision in force by the table or the object store, read by a call that began at begun.
 func (a *Adoption) Confirm(begun time.Time, revision int64) {
 	a.known = max(a.known, revision)
-	a.note(begun, revision)
+	a.recordConfirmation(begun, revision)
 }
 
-// note takes it that nothing newer than a revision was in force at a time.
-func (a *Adoption) note(at time.Time, revision int64) {
+// recordConfirmation takes it that nothing newer than a revision was in force at a time.
+func (a *Adoption) recordConfirmation(at time.Time, revision int64) {
 	if at.After(a.confirmed) {
 		a.confirmed = at
 	}
@@ -71,8 +71,8 @@
 // TableDown notes that the table did not answer.
 func (a *Adoption) TableDown() { a.tableDown = true }
 
-// PeerWord is what a peer says of configuration in one exchange.
-type PeerWord struct {
+// ConfigStatus is what a peer says of configuration in one exchange.
+type ConfigStatus struct {
 	Revision int64
 	// ConfirmedAge is how long before it answered nothing newer than Revision was in
 	// force, as far as the peer knows; negative means that it can't tell.
@@ -80,14 +80,14 @@
 	TableDown    bool
 }
 
-// Peer takes a peer's word, got by a call that began at begun.
-func (a *Adoption) Peer(begun time.Time, w PeerWord) {
+// ObservePeer takes a peer's word, got by a call that began at begun.
+func (a *Adoption) ObservePeer(begun time.Time, w ConfigStatus) {
 	a.known = max(a.known, w.Revision)
 	if w.ConfirmedAge >= 0 {
-		a.note(begun.Add(-w.ConfirmedAge), w.Revision)
+		a.recordConfirmation(begun.Add(-w.ConfirmedAge), w.Revision)
 	}
-	if w.TableDown && w.Revision > 0 && begun.After(a.heard) {
-		a.heard = begun
+	if w.TableDown && w.Revision > 0 && begun.After(a.outageReported) {
+		a.outageReported = begun
 	}
 }
 
@@ -103,8 +103,8 @@
 // Revision returns the revision that the router serves under, zero before the first.
 func (a *Adoption) Revision() int64 { return a.revision }
 
-// Wanted returns the newest revision heard of, which is above Revision until it is fetched.
-func (a *Adoption) Wanted() int64 { return a.known }
+// NewestKnown returns the newest revision heard of, which is above Revision until it is fetched.
+func (a *Adoption) NewestKnown() int64 { return a.known }
 
 // Behind reports whether a newer revision is known than the one served under.
 func (a *Adoption) Behind() bool { return a.revision < a.known }
@@ -127,16 +127,16 @@
 	if a.strict || a.current.IsZero() || !a.tableDown {
 		return false
 	}
-	return a.alone || now.Sub(a.heard) <= a.validity
+	return a.standalone || now.Sub(a.outageReported) <= a.validity
 }
 
 // Current returns the last moment of which it is known that nothing newer than the
 // revision served under was in force, zero before the first.
 func (a *Adoption) Current() time.Time { return a.current }
 
-// Word returns what the router tells its peers of configuration.
-func (a *Adoption) Word(now time.Time) PeerWord {
-	w := PeerWord{Revision: a.revision, ConfirmedAge: -1, TableDown: a.tableDown}
+// Status returns what the router tells its peers of configuration.
+func (a *Adoption) Status(now time.Time) ConfigStatus {
+	w := ConfigStatus{Revision: a.revision, ConfirmedAge: -1, TableDown: a.tableDown}
 	if !a.current.IsZero() {
 		w.ConfirmedAge = now.Sub(a.current)
 	}
--- a/fleet/adoption_behind_test.go
+++ b/fleet/adoption_behind_test.go
@@ -16,7 +16,7 @@
 	cases := map[string]func(b *Adoption, now time.Time){
 		"the table told of a newer revision": func(b *Adoption, now time.Time) { b.Confirm(now, 2) },
 		"a peer told of a newer revision": func(b *Adoption, now time.Time) {
-			b.Peer(now, PeerWord{Revision: 2, ConfirmedAge: 0})
+			b.ObservePeer(now, ConfigStatus{Revision: 2, ConfirmedAge: 0})
 		},
 	}
 	for name, hear := range cases {
@@ -30,11 +30,11 @@
 			now := epoch
 			for ; now.Sub(epoch) <= behindFor; now = now.Add(testValidity / 10) {
 				hear(b, now)
-				word := b.Word(now)
+				word := b.Status(now)
 				require.EqualValues(t, 1, word.Revision)
 				require.GreaterOrEqual(t, word.ConfirmedAge, now.Sub(epoch), "how long ago nothing newer than its revision was in force")
 				// What it knows of the newer one does not get through to the third.
-				c.Peer(now, word)
+				c.ObservePeer(now, word)
 			}
 			require.False(t, c.Serving(now), "a process that hears nothing but the word of one that is behind")
 			b.Adopted(2)
--- a/fleet/adoption_flight_test.go
+++ b/fleet/adoption_flight_test.go
@@ -12,72 +12,72 @@
 // testGrace is how long a process serves on that knows of a newer revision.
 const testGrace = testValidity / 2
 
-// flight is a call on its way: it was begun, is answered later, and its answer is
+// exchange is a call on its way: it was begun, is answered later, and its answer is
 // taken in later still, since a process may be frozen at any moment.
-type flight struct {
+type exchange struct {
 	asker *Adoption
 	// teller is the peer that is asked, nil for the table.
 	teller *Adoption
 	begun  time.Time
 	// word and revision are the answer, once it was given.
 	answered bool
-	word     PeerWord
+	word     ConfigStatus
 	revision int64
 }
 
-// flightWorld is strict processes whose calls take time.
-type flightWorld struct {
+// exchangeSim is strict processes whose calls take time.
+type exchangeSim struct {
 	now       time.Time
 	inForce   int64
 	forcedAt  map[int64]time.Time
 	processes []*Adoption
-	flights   []*flight
+	flights   []*exchange
 }
 
-func newFlightWorld(n int) *flightWorld {
-	w := &flightWorld{now: epoch, inForce: 1, forcedAt: map[int64]time.Time{1: epoch}, processes: make([]*Adoption, n)}
+func newExchangeSim(n int) *exchangeSim {
+	w := &exchangeSim{now: epoch, inForce: 1, forcedAt: map[int64]time.Time{1: epoch}, processes: make([]*Adoption, n)}
 	for i := range n {
 		w.restart(i)
 	}
 	return w
 }
 
-func (w *flightWorld) restart(i int) {
+func (w *exchangeSim) restart(i int) {
 	w.processes[i] = NewAdoption(testValidity, false, WithGrace(testGrace))
 	w.processes[i].Strict()
 }
 
-func (w *flightWorld) apply() {
+func (w *exchangeSim) apply() {
 	w.inForce++
 	w.forcedAt[w.inForce] = w.now
 }
 
 // ask begins a call of a process to the table, or to a peer.
-func (w *flightWorld) ask(asker, teller *Adoption) *flight {
-	f := &flight{asker: asker, teller: teller, begun: w.now}
+func (w *exchangeSim) ask(asker, teller *Adoption) *exchange {
+	f := &exchange{asker: asker, teller: teller, begun: w.now}
 	w.flights = append(w.flights, f)
 	return f
 }
 
 // answer gives a call its answer, as things are now.
-func (w *flightWorld) answer(f *flight) {
+func (w *exchangeSim) answer(f *exchange) {
 	switch {
 	case f.answered:
 	case f.teller == nil:
 		f.revision = w.inForce
 	default:
-		f.word = f.teller.Word(w.now)
+		f.word = f.teller.Status(w.now)
 		// The one that is asked hears who asks, without a time that it could count from.
-		f.teller.Peer(time.Time{}, PeerWord{Revision: f.asker.Revision(), ConfirmedAge: -1})
+		f.teller.ObservePeer(time.Time{}, ConfigStatus{Revision: f.asker.Revision(), ConfirmedAge: -1})
 	}
 	f.answered = true
 }
 
 // arrive takes an answer in; those of calls that a dead process made go nowhere. A
 // newer revision that a peer told of may still have to be fetched.
-func (w *flightWorld) arrive(f *flight) { w.take(f, true) }
+func (w *exchangeSim) arrive(f *exchange) { w.take(f, true) }
 
-func (w *flightWorld) take(f *flight, fetched bool) {
+func (w *exchangeSim) take(f *exchange, fetched bool) {
 	if !f.answered {
 		return
 	}
@@ -86,7 +86,7 @@
 		f.asker.Confirm(f.begun, f.asker.Revision())
 		return
 	}
-	f.asker.Peer(f.begun, f.word)
+	f.asker.ObservePeer(f.begun, f.word)
 	if fetched {
 		f.asker.Adopted(f.word.Revision)
 	}
@@ -95,10 +95,10 @@
 // check is the oracle: a process that serves does so under a revision that was the
 // newest at some moment within the validity, within the grace if it knows of a newer
 // one, and it tells others nothing better than that.
-func (w *flightWorld) check() error {
+func (w *exchangeSim) check() error {
 	for i, a := range w.processes {
 		next, replaced := w.forcedAt[a.Revision()+1]
-		if word := a.Word(w.now); replaced && word.ConfirmedAge >= 0 && w.now.Add(-word.ConfirmedAge).After(next) {
+		if word := a.Status(w.now); replaced && word.ConfirmedAge >= 0 && w.now.Add(-word.ConfirmedAge).After(next) {
 			return fmt.Errorf("process %d tells that revision %d was the newest %s ago, which was replaced %s ago", i, a.Revision(), word.ConfirmedAge, w.now.Sub(next))
 		}
 		if replaced && a.Behind() && !a.Outdated(w.now) && w.now.Sub(next) > testGrace {
@@ -119,9 +119,9 @@
 // that was replaced longer ago than the validity.
 func TestAdoptionFlightFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newFlightWorld(3)
+		w := newExchangeSim(3)
 		index := func() int { return rapid.IntRange(0, len(w.processes)-1).Draw(rt, "process") }
-		flying := func(do func(f *flight)) {
+		flying := func(do func(f *exchange)) {
 			if len(w.flights) > 0 {
 				do(w.flights[rapid.IntRange(0, len(w.flights)-1).Draw(rt, "call")])
 			}
@@ -160,32 +160,32 @@
 // waking, nor does one that was started anew take a peer's old confirmation for new.
 func TestAdoptionFrozenAnswer(t *testing.T) {
 	const frozen = testValidity + time.Second
-	cases := map[string]func(w *flightWorld, a, b *Adoption){
-		"the answer was on its way": func(w *flightWorld, a, _ *Adoption) {
+	cases := map[string]func(w *exchangeSim, a, b *Adoption){
+		"the answer was on its way": func(w *exchangeSim, a, _ *Adoption) {
 			f := w.ask(a, nil)
 			w.answer(f)
 			w.now = w.now.Add(frozen)
 			w.arrive(f)
 		},
-		"a peer's answer was on its way": func(w *flightWorld, a, b *Adoption) {
+		"a peer's answer was on its way": func(w *exchangeSim, a, b *Adoption) {
 			f := w.ask(a, b)
 			w.answer(f)
 			w.now = w.now.Add(frozen)
 			w.arrive(f)
 		},
-		"the peer was frozen before it answered": func(w *flightWorld, a, b *Adoption) {
+		"the peer was frozen before it answered": func(w *exchangeSim, a, b *Adoption) {
 			f := w.ask(a, b)
 			w.now = w.now.Add(frozen)
 			w.answer(f)
 			w.arrive(f)
 		},
-		"the peer asked long ago and tells at once": func(w *flightWorld, a, b *Adoption) {
+		"the peer asked long ago and tells at once": func(w *exchangeSim, a, b *Adoption) {
 			w.now = w.now.Add(frozen)
 			f := w.ask(a, b)
 			w.answer(f)
 			w.arrive(f)
 		},
-		"a process that was started anew hears an old word through another": func(w *flightWorld, a, b *Adoption) {
+		"a process that was started anew hears an old word through another": func(w *exchangeSim, a, b *Adoption) {
 			w.now = w.now.Add(frozen / 2)
 			f := w.ask(a, b)
 			w.answer(f)
@@ -201,7 +201,7 @@
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newFlightWorld(2)
+			w := newExchangeSim(2)
 			a, b := w.processes[0], w.processes[1]
 			a.Adopted(1)
 			f := w.ask(b, nil)
--- a/fleet/claim.go
+++ b/fleet/claim.go
@@ -84,30 +84,30 @@
 			return t, nil, nil
 		}
 		if errors.Is(err, ErrConflict) {
-			again, outcome, err := c.meet(ctx, t)
-			if !again {
-				return ticketIf(err == nil && outcome == nil, t), outcome, err
+			retry, outcome, err := c.resolveConflict(ctx, t)
+			if !retry {
+				return ticketOrNil(err == nil && outcome == nil, t), outcome, err
 			}
 			continue
 		}
-		if err := pause(ctx); err != nil {
+		if err := waitRetry(ctx); err != nil {
 			return nil, nil, err
 		}
 	}
 }
 
-func ticketIf(ok bool, t *Ticket) *Ticket {
+func ticketOrNil(ok bool, t *Ticket) *Ticket {
 	if !ok {
 		return nil
 	}
 	return t
 }
 
-func pause(ctx context.Context) error {
+func waitRetry(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return errs.Errorf("claim: %w", ctx.Err())
-	case <-time.After(settlePause):
+	case <-time.After(retryInterval):
 		return nil
 	}
 }
@@ -126,24 +126,24 @@
 	return nil
 }
 
-// meet looks at the claim that stands in the way; again says that the write is to be tried over it.
-func (c Claims) meet(ctx context.Context, t *Ticket) (again bool, outcome *Outcome, err error) {
-	standing, rev, err := c.read(ctx, t.key)
+// resolveConflict looks at the claim that stands in the way; again says that the write is to be tried over it.
+func (c Claims) resolveConflict(ctx context.Context, t *Ticket) (retry bool, outcome *Outcome, err error) {
+	existing, rev, err := c.read(ctx, t.key)
 	switch {
 	case err != nil:
 		return false, nil, err
-	case standing.Owner == t.claim.Owner:
+	case existing.Owner == t.claim.Owner:
 		t.rev = rev
 		return false, nil, nil
-	case standing.BodyHash != t.claim.BodyHash:
-		return false, nil, ErrBodyDiffers.Errorf("first used at %s", standing.At.Format(time.RFC3339))
-	case standing.State == ClaimDone:
-		return false, standing.Outcome, nil
-	case standing.State == ClaimReleased:
+	case existing.BodyHash != t.claim.BodyHash:
+		return false, nil, ErrBodyDiffers.Errorf("first used at %s", existing.At.Format(time.RFC3339))
+	case existing.State == ClaimDone:
+		return false, existing.Outcome, nil
+	case existing.State == ClaimReleased:
 		t.rev = rev
 		return true, nil, nil
 	}
-	return false, nil, ErrTaken.Errorf("since %s", standing.At.Format(time.RFC3339))
+	return false, nil, ErrTaken.Errorf("since %s", existing.At.Format(time.RFC3339))
 }
 
 func (c Claims) read(ctx context.Context, key CallKey) (Claim, int64, error) {
@@ -157,7 +157,7 @@
 			err = json.Unmarshal(row.Data, &claim)
 			return claim, row.Rev, err
 		}
-		if stop := pause(ctx); stop != nil {
+		if stop := waitRetry(ctx); stop != nil {
 			return Claim{}, 0, err
 		}
 	}
@@ -170,7 +170,7 @@
 		if err != nil || claim.State != ClaimOpen {
 			return claim, err
 		}
-		if err := pause(ctx); err != nil {
+		if err := waitRetry(ctx); err != nil {
 			return claim, err
 		}
 	}
@@ -195,7 +195,7 @@
 		if err == nil || errors.Is(err, ErrConflict) {
 			return err
 		}
-		if err := pause(ctx); err != nil {
+		if err := waitRetry(ctx); err != nil {
 			return err
 		}
 	}
@@ -203,9 +203,9 @@
 
 // Abandon releases a claim whose taking ended without an answer, if it stands.
 func (c Claims) Abandon(ctx context.Context, key CallKey, owner, bodyHash string) error {
-	standing, rev, err := c.read(ctx, key)
-	if err != nil || standing.Owner != owner || standing.State != ClaimOpen {
+	existing, rev, err := c.read(ctx, key)
+	if err != nil || existing.Owner != owner || existing.State != ClaimOpen {
 		return err
 	}
-	return c.Release(ctx, &Ticket{key: key, claim: standing, rev: rev})
+	return c.Release(ctx, &Ticket{key: key, claim: existing, rev: rev})
 }
--- a/fleet/claim_test.go
+++ b/fleet/claim_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callerWorld is callers that repeat one keyed call at several routers, over a
+// callerSim is callers that repeat one keyed call at several routers, over a
 // table that loses commits and replies, with routers that are killed at every point.
-type callerWorld struct {
+type callerSim struct {
 	claims Claims
 	key    CallKey
 
@@ -33,7 +33,7 @@
 func raceCallers(seed uint64, callers int) error {
 	table := newFakeTable()
 	table.plan = flaky(seed, 0.3)
-	w := &callerWorld{claims: Claims{Table: table}, key: CallKey{"org", "seat", "k"}}
+	w := &callerSim{claims: Claims{Table: table}, key: CallKey{"org", "seat", "k"}}
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -49,7 +49,7 @@
 }
 
 // call is one router's handling of the call, which may die before any step.
-func (w *callerWorld) call(rng *rand.Rand, owner string) {
+func (w *callerSim) call(rng *rand.Rand, owner string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	dies := rng.IntN(6)
@@ -78,21 +78,21 @@
 	}
 }
 
-func (w *callerWorld) run(owner string) string {
+func (w *callerSim) run(owner string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs++
 	return "run by " + owner
 }
 
-func (w *callerWorld) answer(body string) {
+func (w *callerSim) answer(body string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.answers = append(w.answers, body)
 }
 
 // check is the oracle: the call ran at most once, and every answer is that run's.
-func (w *callerWorld) check() error {
+func (w *callerSim) check() error {
 	if w.runs > 1 {
 		return fmt.Errorf("the call ran %d times", w.runs)
 	}
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -61,8 +61,8 @@
 // ErrSuperseded says that another operator's revision was accepted first.
 var ErrSuperseded = errs.Tag("another revision was accepted first")
 
-// ErrUnsettled says that it is not known whether a revision was accepted.
-var ErrUnsettled = errs.Tag("not known whether the revision was accepted")
+// ErrOutcomeUnknown says that it is not known whether a revision was accepted.
+var ErrOutcomeUnknown = errs.Tag("not known whether the revision was accepted")
 
 // Head reads the head, zero if nothing was ever accepted.
 func (c Configs) Head(ctx context.Context) (Head, error) {
@@ -121,12 +121,12 @@
 	return d, nil
 }
 
-// settlePause is the time between tries of a write whose reply was lost.
-const settlePause = 50 * time.Millisecond
+// retryInterval is the time between tries of a write whose reply was lost.
+const retryInterval = 50 * time.Millisecond
 
 // Apply offers a document as the revision after base and puts it in force. It
 // returns an error wrapping ErrSuperseded, with the other document, if another
-// came first, and one wrapping ErrUnsettled if the context ended before the
+// came first, and one wrapping ErrOutcomeUnknown if the context ended before the
 // table said either.
 //
 // A lost reply is settled by looking at the head again: the document is there
@@ -134,7 +134,7 @@
 func (c Configs) Apply(ctx context.Context, base int64, d Document) (Document, error) {
 	d.Revision = base + 1
 	for {
-		stored, err := c.offer(ctx, base, d)
+		stored, err := c.tryApply(ctx, base, d)
 		if err == nil {
 			return stored, c.Confirm(ctx, stored)
 		}
@@ -143,20 +143,20 @@
 		}
 		select {
 		case <-ctx.Done():
-			return d, ErrUnsettled.Wrap(err)
-		case <-time.After(settlePause):
+			return d, ErrOutcomeUnknown.Wrap(err)
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// offer makes one try of a write; an error that does not wrap ErrSuperseded settles nothing.
-func (c Configs) offer(ctx context.Context, base int64, d Document) (Document, error) {
+// tryApply makes one try of a write; an error that does not wrap ErrSuperseded settles nothing.
+func (c Configs) tryApply(ctx context.Context, base int64, d Document) (Document, error) {
 	h, rev, err := c.readHead(ctx)
 	if err != nil {
 		return d, err
 	}
 	if h.Revision >= d.Revision {
-		return c.whose(ctx, d)
+		return c.readAccepted(ctx, d)
 	}
 	if h.Revision < base {
 		return d, ErrSuperseded.Errorf("revision %d does not exist", base)
@@ -175,8 +175,8 @@
 	return d, err
 }
 
-// whose reads back who got the document's revision.
-func (c Configs) whose(ctx context.Context, d Document) (Document, error) {
+// readAccepted reads back who got the document's revision.
+func (c Configs) readAccepted(ctx context.Context, d Document) (Document, error) {
 	stored, err := c.Get(ctx, d.Revision)
 	if err != nil || stored.WriteID == d.WriteID {
 		return stored, err
@@ -195,19 +195,19 @@
 		return err
 	}
 	for {
-		err := c.enforce(ctx, d.Revision)
+		err := c.putInForce(ctx, d.Revision)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(settlePause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-func (c Configs) enforce(ctx context.Context, revision int64) error {
+func (c Configs) putInForce(ctx context.Context, revision int64) error {
 	h, rev, err := c.readHead(ctx)
 	if err != nil || h.InForce >= revision {
 		return err
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -154,9 +154,9 @@
 	})
 }
 
-// adoptionWorld is an oracle's view of revisions and of routers that hear of
+// adoptionSim is an oracle's view of revisions and of routers that hear of
 // them late, are frozen, or are cut off from the table or each other.
-type adoptionWorld struct {
+type adoptionSim struct {
 	now      time.Time
 	inForce  int64
 	forcedAt map[int64]time.Time
@@ -172,7 +172,7 @@
 func TestAdoptionFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 3
-		w := &adoptionWorld{
+		w := &adoptionSim{
 			now: epoch, inForce: 1, forcedAt: map[int64]time.Time{1: epoch},
 			served: make([]int64, n), cutTable: make([]bool, n), cutPeers: make([]bool, n),
 		}
@@ -209,7 +209,7 @@
 	})
 }
 
-func (w *adoptionWorld) poll(i int) {
+func (w *adoptionSim) poll(i int) {
 	if w.tableOut || w.cutTable[i] {
 		w.routers[i].TableDown()
 		return
@@ -219,19 +219,19 @@
 	w.routers[i].Confirm(w.now, w.inForce)
 }
 
-func (w *adoptionWorld) gossip(i, j int) {
+func (w *adoptionSim) gossip(i, j int) {
 	if i == j || w.cutPeers[i] || w.cutPeers[j] {
 		return
 	}
-	word := w.routers[j].Word(w.now)
-	w.routers[i].Peer(w.now, word)
+	word := w.routers[j].Status(w.now)
+	w.routers[i].ObservePeer(w.now, word)
 	w.routers[i].Adopted(word.Revision)
 }
 
 // check is the oracle: a router that serves is on its highest revision so far,
 // and on one that was the newest at some time within the validity, unless the
 // table is out for it and for a peer it hears from.
-func (w *adoptionWorld) check() error {
+func (w *adoptionSim) check() error {
 	for i, a := range w.routers {
 		if a.Revision() < w.served[i] {
 			return fmt.Errorf("router %d went back from revision %d to %d", i, w.served[i], a.Revision())
@@ -253,16 +253,16 @@
 	cases := map[string]struct {
 		alone     bool
 		tableDown bool
-		peer      *PeerWord
+		peer      *ConfigStatus
 		passed    time.Duration
 		serving   bool
 	}{
 		"fresh":                               {passed: time.Second, serving: true},
 		"frozen past the validity":            {passed: 4 * time.Second},
 		"table out, no peer heard":            {passed: 4 * time.Second, tableDown: true},
-		"table out, peer says so too":         {passed: 4 * time.Second, tableDown: true, peer: &PeerWord{Revision: 1, ConfirmedAge: time.Hour, TableDown: true}, serving: true},
-		"table out here, peer is confirmed":   {passed: 4 * time.Second, tableDown: true, peer: &PeerWord{Revision: 1, ConfirmedAge: time.Second}, serving: true},
-		"peer has a newer revision":           {passed: time.Second, peer: &PeerWord{Revision: 2}},
+		"table out, peer says so too":         {passed: 4 * time.Second, tableDown: true, peer: &ConfigStatus{Revision: 1, ConfirmedAge: time.Hour, TableDown: true}, serving: true},
+		"table out here, peer is confirmed":   {passed: 4 * time.Second, tableDown: true, peer: &ConfigStatus{Revision: 1, ConfirmedAge: time.Second}, serving: true},
+		"peer has a newer revision":           {passed: time.Second, peer: &ConfigStatus{Revision: 2}},
 		"alone by its settings, table is out": {alone: true, passed: time.Hour, tableDown: true, serving: true},
 	}
 	for name, c := range cases {
@@ -275,7 +275,7 @@
 			}
 			now := epoch.Add(c.passed)
 			if c.peer != nil {
-				a.Peer(now, *c.peer)
+				a.ObservePeer(now, *c.peer)
 			}
 			require.Equal(t, c.serving, a.Serving(now))
 		})
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -33,33 +33,33 @@
 // from after it first read the newest beat, and waits for longer than the
 // lease's length, so that the holder has stopped before it starts.
 type Lease struct {
-	name   string
-	self   string
-	length time.Duration
-	guard  time.Duration
-
-	seen   leaseRow
-	rev    int64
-	seenAt time.Time
-	known  bool
+	name           string
+	self           string
+	ttl            time.Duration
+	takeoverMargin time.Duration
+
+	lastRow   leaseRow
+	rev       int64
+	lastRowAt time.Time
+	known     bool
 	// read says that the row was read before, at rev.
 	read bool
 	// fresh says that the row was written since it was first read in its era, so that it
 	// is not one of an older copy.
-	fresh   bool
-	held    bool
-	until   time.Time
-	fence   int64
-	pending *renewal
-	note    json.RawMessage
+	writtenInEra bool
+	held         bool
+	until        time.Time
+	fence        int64
+	pending      *pendingWrite
+	note         json.RawMessage
 
 	processes int
 }
 
-// renewal is a write whose answer is not known yet.
-type renewal struct {
-	row   leaseRow
-	begun time.Time
+// pendingWrite is a write whose answer is not known yet.
+type pendingWrite struct {
+	row       leaseRow
+	startedAt time.Time
 }
 
 // partLease is the table part of leases.
@@ -68,8 +68,8 @@
 // NewLease returns a process's side of a named lease of the given length; guard
 // is how much longer than the lease another process waits, and covers the
 // longest order that the holder may still have under way.
-func NewLease(name, self string, length, guard time.Duration) *Lease {
-	return &Lease{name: name, self: self, length: length, guard: guard}
+func NewLease(name, self string, ttl, takeoverMargin time.Duration) *Lease {
+	return &Lease{name: name, self: self, ttl: ttl, takeoverMargin: takeoverMargin}
 }
 
 // Name returns the lease's name.
@@ -82,24 +82,24 @@
 func (l *Lease) SetNote(note json.RawMessage) { l.note = note }
 
 // Note returns what the lease's last writer left, as it was last read or written.
-func (l *Lease) Note() json.RawMessage { return l.seen.Note }
+func (l *Lease) Note() json.RawMessage { return l.lastRow.Note }
 
 // SetProcesses sets how many processes the next write of the lease says that the fleet has.
 func (l *Lease) SetProcesses(n int) { l.processes = n }
 
 // Processes returns how many processes the fleet had by the lease's last writer, zero
 // where it did not say.
-func (l *Lease) Processes() int { return l.seen.Processes }
+func (l *Lease) Processes() int { return l.lastRow.Processes }
 
 // The bounds of a row that a process of this kind may have written: its length, in those of
 // this process's own leases, and its fencing number.
 const (
-	mostLengths = 10
-	mostFence   = 1 << 53
+	maxLeaseTTLs = 10
+	maxFence     = 1 << 53
 )
 
-// ErrLeaseUnread says that a lease's row could not be read; [Lease.Read] has taken it all the same.
-var ErrLeaseUnread = errs.Tag("the lease's row is none that this program writes")
+// ErrLeaseInvalid says that a lease's row could not be read; [Lease.Read] has taken it all the same.
+var ErrLeaseInvalid = errs.Tag("the lease's row is none that this program writes")
 
 // decode reads the lease's row. One that is not as processes write it counts as held by
 // somebody unknown from now on, so that it ends as any other lease does. Its fencing number is
@@ -107,21 +107,21 @@
 func (l *Lease) decode(row Row) (leaseRow, error) {
 	var r leaseRow
 	err := json.Unmarshal(row.Data, &r)
-	if err == nil && (r.Length <= 0 || r.Length > mostLengths*l.length || r.Fence < 0 || r.Fence > mostFence) {
+	if err == nil && (r.Length <= 0 || r.Length > maxLeaseTTLs*l.ttl || r.Fence < 0 || r.Fence > maxFence) {
 		err = errs.Errorf("a length of %s, a fence of %d", r.Length, r.Fence)
 	}
 	if err == nil {
 		return r, nil
 	}
-	r = leaseRow{Holder: unknownHolder, Fence: max(l.seen.Fence, l.fence, row.Rev), Length: l.length}
-	return r, ErrLeaseUnread.Errorf("lease %s: %w", l.name, err)
+	r = leaseRow{Holder: unknownHolder, Fence: max(l.lastRow.Fence, l.fence, row.Rev), Length: l.ttl}
+	return r, ErrLeaseInvalid.Errorf("lease %s: %w", l.name, err)
 }
 
 // unknownHolder stands for whoever wrote a row that could not be read.
 const unknownHolder = "?"
 
-// Read takes a read of the lease's row; ok is false where there is none.
-func (l *Lease) Read(now time.Time, row Row, ok bool) error {
+// HandleRead takes a read of the lease's row; ok is false where there is none.
+func (l *Lease) HandleRead(now time.Time, row Row, ok bool) error {
 	var (
 		r   leaseRow
 		err error
@@ -137,8 +137,8 @@
 		l.pending = nil
 	}
 	if !l.known || row.Rev != l.rev {
-		l.fresh = l.read && Era(row.Rev) == Era(l.rev) && row.Rev > l.rev
-		l.seen, l.rev, l.seenAt = r, row.Rev, now
+		l.writtenInEra = l.read && Era(row.Rev) == Era(l.rev) && row.Rev > l.rev
+		l.lastRow, l.rev, l.lastRowAt = r, row.Rev, now
 	}
 	l.known, l.read = true, true
 	if r.Holder != l.self || r.Fence != l.fence {
@@ -156,14 +156,14 @@
 	}
 	l.pending = nil
 	if r.Holder == p.row.Holder && r.Fence == p.row.Fence && r.Beat == p.row.Beat && r.Token == p.row.Token {
-		l.won(p)
+		l.markHeld(p)
 	}
 }
 
-func (l *Lease) won(p *renewal) {
+func (l *Lease) markHeld(p *pendingWrite) {
 	l.held = true
 	l.fence = p.row.Fence
-	l.until = p.begun.Add(l.length)
+	l.until = p.startedAt.Add(l.ttl)
 }
 
 // Next returns the write that takes or renews the lease, or ok false while
@@ -182,18 +182,18 @@
 	if err != nil {
 		panic("fleet: a lease row does not encode")
 	}
-	l.pending = &renewal{row: row, begun: now}
-	return Write{Part: partLease, Sort: l.name, Data: data, If: l.condition()}, true
+	l.pending = &pendingWrite{row: row, startedAt: now}
+	return Write{Part: partLease, Sort: l.name, Data: data, If: l.expectedRevision()}, true
 }
 
 func (l *Lease) nextRow(now time.Time) (leaseRow, bool) {
-	r := leaseRow{Holder: l.self, Fence: l.seen.Fence, Beat: l.seen.Beat + 1, Length: l.length, Note: l.note, Processes: l.processes}
-	if l.held && l.seen.Holder == l.self {
+	r := leaseRow{Holder: l.self, Fence: l.lastRow.Fence, Beat: l.lastRow.Beat + 1, Length: l.ttl, Note: l.note, Processes: l.processes}
+	if l.held && l.lastRow.Holder == l.self {
 		// Also a lease that ran out is renewed: while its row stands as this
 		// process wrote it, no other has held the lease since.
 		return r, true
 	}
-	if !l.free(now) {
+	if !l.available(now) {
 		return leaseRow{}, false
 	}
 	// The row may be older than a lease that was lost with its copy: the era goes into
@@ -202,27 +202,27 @@
 	return r, true
 }
 
-// free reports whether the lease may be taken. In a store that may have come back from an
+// available reports whether the lease may be taken. In a store that may have come back from an
 // older copy, neither a row that is not there nor one that says that it was given up tells that
 // nobody holds it: it is waited out as any other.
-func (l *Lease) free(now time.Time) bool {
+func (l *Lease) available(now time.Time) bool {
 	switch {
-	case Era(l.rev) == 0 && (l.rev == 0 || l.seen.Freed), l.fresh && l.seen.Freed:
+	case Era(l.rev) == 0 && (l.rev == 0 || l.lastRow.Freed), l.writtenInEra && l.lastRow.Freed:
 		return true
 	}
-	return now.Sub(l.seenAt) > max(l.seen.Length, l.length)+l.guard
+	return now.Sub(l.lastRowAt) > max(l.lastRow.Length, l.ttl)+l.takeoverMargin
 }
 
-// Wrote takes the table's answer to the write that Next returned, with the row's new revision.
-func (l *Lease) Wrote(now time.Time, rev int64, err error) {
+// HandleWrite takes the table's answer to the write that Next returned, with the row's new revision.
+func (l *Lease) HandleWrite(now time.Time, rev int64, err error) {
 	p := l.pending
 	switch {
 	case p == nil:
 	case err == nil:
 		l.pending = nil
-		l.seen, l.seenAt = p.row, now
+		l.lastRow, l.lastRowAt = p.row, now
 		l.rev = rev
-		l.won(p)
+		l.markHeld(p)
 	case isConflict(err):
 		l.pending = nil
 		l.known = false
@@ -232,8 +232,8 @@
 	}
 }
 
-// condition is the revision that the row must have; one that is not there has none.
-func (l *Lease) condition() int64 {
+// expectedRevision is the revision that the row must have; one that is not there has none.
+func (l *Lease) expectedRevision() int64 {
 	if Version(l.rev) == 0 {
 		return 0
 	}
@@ -255,14 +255,14 @@
 func (l *Lease) Fence() int64 { return l.fence }
 
 // Holder returns the holder that the table last named, and its fencing number.
-func (l *Lease) Holder() (id string, fence int64) { return l.seen.Holder, l.seen.Fence }
+func (l *Lease) Holder() (id string, fence int64) { return l.lastRow.Holder, l.lastRow.Fence }
 
-// Free returns the write that gives the lease up, if it is held.
-func (l *Lease) Free(now time.Time) (w Write, ok bool) {
+// Release returns the write that gives the lease up, if it is held.
+func (l *Lease) Release(now time.Time) (w Write, ok bool) {
 	if !l.Holds(now) || !l.known || l.pending != nil {
 		return Write{}, false
 	}
-	row := l.seen
+	row := l.lastRow
 	row.Freed = true
 	row.Beat++
 	data, err := json.Marshal(row)
@@ -270,5 +270,5 @@
 		panic("fleet: a lease row does not encode")
 	}
 	l.held = false
-	return Write{Part: partLease, Sort: l.name, Data: data, If: l.condition()}, true
+	return Write{Part: partLease, Sort: l.name, Data: data, If: l.expectedRevision()}, true
 }
--- a/fleet/lease_era_test.go
+++ b/fleet/lease_era_test.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// goBack brings the table back as it was n writes ago.
-func (e *eraTable) goBack(n int) {
+// restoreCopy brings the table back as it was n writes ago.
+func (e *eraTable) restoreCopy(n int) {
 	at := eraTable{version: 0}
 	if k := len(e.past) - 1 - n; k >= 0 {
 		at = e.past[k]
@@ -60,8 +60,8 @@
 	e.version, e.row, e.there = at.version, at.row, at.there
 }
 
-// eraWorld is processes that share a lease in such a table.
-type eraWorld struct {
+// eraSim is processes that share a lease in such a table.
+type eraSim struct {
 	now    time.Time
 	table  eraTable
 	leases []*Lease
@@ -70,48 +70,48 @@
 	top    int64
 }
 
-func newEraWorld(n int) *eraWorld {
-	w := &eraWorld{now: epoch, table: eraTable{era: 1}}
+func newEraSim(n int) *eraSim {
+	w := &eraSim{now: epoch, table: eraTable{era: 1}}
 	for i := range n {
 		w.leases = append(w.leases, NewLease("x", fmt.Sprintf("p%d", i), testLease, testGuard))
 	}
 	return w
 }
 
-func (w *eraWorld) read(l *Lease) error {
+func (w *eraSim) read(l *Lease) error {
 	row, ok := w.table.read()
-	return l.Read(w.now, row, ok)
+	return l.HandleRead(w.now, row, ok)
 }
 
 // write sends the write that a process wants. A client knows the store's era by its last answer, so
 // that one which read in this era sends no condition of an older one.
-func (w *eraWorld) write(l *Lease, answered bool) {
+func (w *eraSim) write(l *Lease, answered bool) {
 	w.tokens++
 	next, ok := l.Next(w.now, fmt.Sprint(w.tokens))
 	if !ok {
 		return
 	}
 	if next.If != 0 && Era(next.If) != w.table.era {
-		l.Wrote(w.now, 0, ErrConflict.Errorf("another era"))
+		l.HandleWrite(w.now, 0, ErrConflict.Errorf("another era"))
 		return
 	}
 	err := w.table.apply(next)
 	if !answered {
 		err = errLost
 	}
-	l.Wrote(w.now, Position(w.table.era, w.table.row.Rev), err)
+	l.HandleWrite(w.now, Position(w.table.era, w.table.row.Rev), err)
 }
 
 // writeLate sends a write that the table does later, or never, and does not answer.
-func (w *eraWorld) writeLate(l *Lease) {
+func (w *eraSim) writeLate(l *Lease) {
 	w.tokens++
 	if next, ok := l.Next(w.now, fmt.Sprint(w.tokens)); ok {
 		w.late = append(w.late, next)
-		l.Wrote(w.now, 0, errLost)
+		l.HandleWrite(w.now, 0, errLost)
 	}
 }
 
-func (w *eraWorld) take(l *Lease) error {
+func (w *eraSim) take(l *Lease) error {
 	err := w.read(l)
 	w.write(l, true)
 	return err
@@ -119,7 +119,7 @@
 
 // check is the oracle: at most one process holds the lease, and none under a lower number than
 // was given before.
-func (w *eraWorld) check() error {
+func (w *eraSim) check() error {
 	holders := 0
 	for _, l := range w.leases {
 		if !l.Holds(w.now) {
@@ -151,7 +151,7 @@
 
 func checkLeaseEra(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newEraWorld(3)
+		w := newEraSim(3)
 		must := func(err error) {
 			if err != nil {
 				rt.Fatal(err)
@@ -180,7 +180,7 @@
 			},
 			"give up": func(*rapid.T) {
 				l := pick()
-				if next, ok := l.Free(w.now); ok && Era(next.If) == w.table.era {
+				if next, ok := l.Release(w.now); ok && Era(next.If) == w.table.era {
 					_ = w.table.apply(next)
 				}
 			},
@@ -188,7 +188,7 @@
 				n := rapid.IntRange(0, len(w.leases)-1).Draw(rt, "process")
 				w.leases[n] = NewLease("x", fmt.Sprintf("p%d", n), testLease, testGuard)
 			},
-			"go back": func(rt *rapid.T) { w.table.goBack(rapid.IntRange(0, 6).Draw(rt, "writes")) },
+			"go back": func(rt *rapid.T) { w.table.restoreCopy(rapid.IntRange(0, 6).Draw(rt, "writes")) },
 			"pass": func(rt *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(rt, "ms")) * time.Millisecond)
 			},
@@ -200,7 +200,7 @@
 // Two processes that took a lease in turn: the table comes back with the first one's row, and the
 // second's lease lasts. Neither acts beside the other, and the next number is above both.
 func TestLeaseEraTwoHolders(t *testing.T) {
-	w := newEraWorld(2)
+	w := newEraSim(2)
 	a, b := w.leases[0], w.leases[1]
 	wait := testLease + testGuard + time.Millisecond
 	require.NoError(t, w.take(a))
@@ -211,7 +211,7 @@
 	require.NoError(t, w.take(b))
 	require.True(t, b.Holds(w.now))
 	fence := b.Fence()
-	w.table.goBack(1)
+	w.table.restoreCopy(1)
 	require.NoError(t, w.take(a))
 	require.False(t, a.Holds(w.now), "the row names a again, whose lease ran out")
 	require.NoError(t, w.take(b))
@@ -232,6 +232,6 @@
 	require.EqualValues(t, 3, Era(Position(3, 9)))
 	require.EqualValues(t, 9, Version(Position(3, 9)))
 	require.False(t, ValidEra(-1))
-	require.False(t, ValidEra(mostEra+1))
-	require.LessOrEqual(t, Position(mostEra, 1<<50), int64(mostFence))
+	require.False(t, ValidEra(maxEra+1))
+	require.LessOrEqual(t, Position(maxEra, 1<<50), int64(maxFence))
 }
--- a/fleet/lease_restart_test.go
+++ b/fleet/lease_restart_test.go
@@ -9,23 +9,23 @@
 	"pgregory.net/rapid"
 )
 
-// leaseLives is a lease world whose processes are started anew under the same names,
+// leaseRestartSim is a lease world whose processes are started anew under the same names,
 // freeze and wake, and that remembers until when each life believed that it holds.
-type leaseLives struct {
-	*leaseWorld
+type leaseRestartSim struct {
+	*leaseSim
 	// frozen are the processes that do nothing now.
 	frozen map[*leaseProcess]bool
 	// believed is until when, by the true time, each life has believed that it holds the lease.
 	believed map[*Lease]time.Time
 }
 
-func newLeaseLives(n int) *leaseLives {
-	return &leaseLives{newLeaseWorld(n), make(map[*leaseProcess]bool), make(map[*Lease]time.Time)}
+func newLeaseRestartSim(n int) *leaseRestartSim {
+	return &leaseRestartSim{newLeaseSim(n), make(map[*leaseProcess]bool), make(map[*Lease]time.Time)}
 }
 
 // restart starts a process anew: its name stays, and all that it knew goes. Writes
 // that it sent may still be done.
-func (w *leaseLives) restart(p *leaseProcess) {
+func (w *leaseRestartSim) restart(p *leaseProcess) {
 	p.lease = NewLease("pool/x", p.lease.self, testLease, testGuard)
 	p.reply = nil
 	delete(w.frozen, p)
@@ -33,8 +33,8 @@
 
 // check is the oracle: while one life holds the lease, every other one, also of the same
 // process, has stopped believing in its own for at least the guard.
-func (w *leaseLives) check() error {
-	if err := w.leaseWorld.check(); err != nil {
+func (w *leaseRestartSim) check() error {
+	if err := w.leaseSim.check(); err != nil {
 		return err
 	}
 	for _, p := range w.processes {
@@ -64,7 +64,7 @@
 
 func TestLeaseRestartFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newLeaseLives(3)
+		w := newLeaseRestartSim(3)
 		must := func(err error) {
 			if err != nil {
 				rt.Fatal(err)
@@ -120,20 +120,20 @@
 // A holder that is started anew under the same name does not go on with the lease of
 // its last life: it waits as long as any other process, and takes a higher fence.
 func TestLeaseRestartedHolder(t *testing.T) {
-	cases := map[string]func(w *leaseLives, p *leaseProcess){
-		"after a renewal": func(w *leaseLives, p *leaseProcess) { w.take(t, p, true, true) },
-		"whose renewal was done and not answered": func(w *leaseLives, p *leaseProcess) {
+	cases := map[string]func(w *leaseRestartSim, p *leaseProcess){
+		"after a renewal": func(w *leaseRestartSim, p *leaseProcess) { w.take(t, p, true, true) },
+		"whose renewal was done and not answered": func(w *leaseRestartSim, p *leaseProcess) {
 			require.NoError(t, w.read(p))
 			w.write(p, true, false)
 		},
-		"whose renewal is done late": func(w *leaseLives, p *leaseProcess) {
+		"whose renewal is done late": func(w *leaseRestartSim, p *leaseProcess) {
 			require.NoError(t, w.read(p))
 			w.writeLate(p)
 		},
 	}
 	for name, last := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newLeaseLives(2)
+			w := newLeaseRestartSim(2)
 			p := w.processes[0]
 			w.take(t, p, true, true)
 			fence := p.lease.Fence()
@@ -159,14 +159,14 @@
 // A process that reads the lease's row, is frozen and wakes counts from when it took
 // the answer in: a row that was read long ago makes no lease look older than it may be.
 func TestLeaseReadThroughFreeze(t *testing.T) {
-	w := newLeaseLives(2)
+	w := newLeaseRestartSim(2)
 	a, b := w.processes[0], w.processes[1]
 	w.take(t, a, true, true)
 	part, sort := b.lease.Key()
 	row, ok, err := w.rows.Get(t.Context(), part, sort)
 	require.NoError(t, err)
 	w.now = w.now.Add(testLease + testGuard + time.Second)
-	require.NoError(t, b.lease.Read(w.clock(b), row, ok))
+	require.NoError(t, b.lease.HandleRead(w.clock(b), row, ok))
 	_, ok = b.lease.Next(w.clock(b), "x")
 	require.False(t, ok, "the row counts from the waking")
 	// The holder renews in the meantime, so that what b read stands no more.
--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -25,9 +25,9 @@
 	write Write
 }
 
-// leaseWorld runs several processes against one row and checks that no two
+// leaseSim runs several processes against one row and checks that no two
 // believe at one moment that they hold the lease, and that fences only grow.
-type leaseWorld struct {
+type leaseSim struct {
 	now       time.Time
 	rows      *fakeTable
 	processes []*leaseProcess
@@ -41,8 +41,8 @@
 	testGuard = 2 * time.Second
 )
 
-func newLeaseWorld(n int) *leaseWorld {
-	w := &leaseWorld{now: epoch, rows: newFakeTable()}
+func newLeaseSim(n int) *leaseSim {
+	w := &leaseSim{now: epoch, rows: newFakeTable()}
 	for i := range n {
 		w.processes = append(w.processes, &leaseProcess{
 			lease:  NewLease("pool/x", fmt.Sprintf("p%d", i), testLease, testGuard),
@@ -52,16 +52,16 @@
 	return w
 }
 
-func (w *leaseWorld) clock(p *leaseProcess) time.Time { return w.now.Add(p.offset) }
+func (w *leaseSim) clock(p *leaseProcess) time.Time { return w.now.Add(p.offset) }
 
-func (w *leaseWorld) read(p *leaseProcess) error {
+func (w *leaseSim) read(p *leaseProcess) error {
 	part, sort := p.lease.Key()
 	row, ok, _ := w.rows.Get(context.Background(), part, sort)
-	return p.lease.Read(w.clock(p), row, ok)
+	return p.lease.HandleRead(w.clock(p), row, ok)
 }
 
 // write sends the write that a process wants, which takes effect at once or never; its reply comes later.
-func (w *leaseWorld) write(p *leaseProcess, effect, reply bool) {
+func (w *leaseSim) write(p *leaseProcess, effect, reply bool) {
 	w.tokens++
 	write, ok := p.lease.Next(w.clock(p), fmt.Sprint(w.tokens))
 	if !ok {
@@ -69,22 +69,22 @@
 	}
 	w.rows.plan = func() (bool, bool) { return effect, reply }
 	rev, err := w.rows.Commit(context.Background(), fmt.Sprint(w.tokens), write)
-	p.reply = func() { p.lease.Wrote(w.clock(p), rev, err) }
+	p.reply = func() { p.lease.HandleWrite(w.clock(p), rev, err) }
 }
 
 // writeLate sends the write that a process wants; it is not answered, and done later or never.
-func (w *leaseWorld) writeLate(p *leaseProcess) {
+func (w *leaseSim) writeLate(p *leaseProcess) {
 	w.tokens++
 	write, ok := p.lease.Next(w.clock(p), fmt.Sprint(w.tokens))
 	if !ok {
 		return
 	}
 	w.late = append(w.late, lateWrite{fmt.Sprint(w.tokens), write})
-	p.reply = func() { p.lease.Wrote(w.clock(p), 0, errLost) }
+	p.reply = func() { p.lease.HandleWrite(w.clock(p), 0, errLost) }
 }
 
 // doLate does the n-th late write, if its condition still holds.
-func (w *leaseWorld) doLate(n int) {
+func (w *leaseSim) doLate(n int) {
 	l := w.late[n]
 	w.late = append(w.late[:n:n], w.late[n+1:]...)
 	w.rows.plan = func() (bool, bool) { return true, false }
@@ -99,14 +99,14 @@
 }
 
 // take reads and writes, with the reply at once.
-func (w *leaseWorld) take(t require.TestingT, p *leaseProcess, effect, reply bool) {
+func (w *leaseSim) take(t require.TestingT, p *leaseProcess, effect, reply bool) {
 	require.NoError(t, w.read(p))
 	w.write(p, effect, reply)
 	p.deliver()
 }
 
 // check is the oracle: at most one holder at any moment, and a holder's fence is the highest ever given.
-func (w *leaseWorld) check() error {
+func (w *leaseSim) check() error {
 	holders := 0
 	for _, p := range w.processes {
 		if !p.lease.Holds(w.clock(p)) {
@@ -126,7 +126,7 @@
 
 func TestLeaseFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newLeaseWorld(3)
+		w := newLeaseSim(3)
 		pick := func() *leaseProcess {
 			return w.processes[rapid.IntRange(0, len(w.processes)-1).Draw(rt, "process")]
 		}
@@ -165,7 +165,7 @@
 			},
 			"free": func(*rapid.T) {
 				p := pick()
-				if write, ok := p.lease.Free(w.clock(p)); ok {
+				if write, ok := p.lease.Release(w.clock(p)); ok {
 					w.tokens++
 					w.rows.plan = func() (bool, bool) { return true, true }
 					_, _ = w.rows.Commit(context.Background(), fmt.Sprint(w.tokens), write)
@@ -177,7 +177,7 @@
 }
 
 func TestLeaseTakeover(t *testing.T) {
-	w := newLeaseWorld(2)
+	w := newLeaseSim(2)
 	a, b := w.processes[0], w.processes[1]
 	w.take(t, a, true, true)
 	require.True(t, a.lease.Holds(w.clock(a)))
@@ -198,7 +198,7 @@
 }
 
 func TestLeaseLostReply(t *testing.T) {
-	w := newLeaseWorld(1)
+	w := newLeaseSim(1)
 	p := w.processes[0]
 	require.NoError(t, w.read(p))
 	w.write(p, true, false)
@@ -213,7 +213,7 @@
 // A write that is done late must not pass for a later one of the same process: that
 // one would count the lease from when it was sent, and others from the late one.
 func TestLeaseLateWrite(t *testing.T) {
-	w := newLeaseWorld(2)
+	w := newLeaseSim(2)
 	a, b := w.processes[0], w.processes[1]
 	require.NoError(t, w.read(a))
 	w.writeLate(a)
@@ -232,7 +232,7 @@
 // What a holder leaves with the lease is what others read, also one that takes it over,
 // and a write whose reply was lost leaves it too.
 func TestLeaseNote(t *testing.T) {
-	w := newLeaseWorld(2)
+	w := newLeaseSim(2)
 	first, second := w.processes[0], w.processes[1]
 	require.NoError(t, w.read(first))
 	require.NoError(t, w.read(second))
--- a/fleet/lease_unread_test.go
+++ b/fleet/lease_unread_test.go
@@ -29,17 +29,17 @@
 			now := epoch
 			holder, other := NewLease("pool/x", "a", testLease, testGuard), NewLease("pool/x", "b", testLease, testGuard)
 			good := Row{Data: []byte(`{"holder":"a","fence":6,"beat":1,"freed":true,"lengthNs":300000000}`), Rev: fence}
-			require.NoError(t, holder.Read(now, good, true))
+			require.NoError(t, holder.HandleRead(now, good, true))
 			_, ok := holder.Next(now, "t1")
 			require.True(t, ok)
-			holder.Wrote(now, fence+1, nil)
+			holder.HandleWrite(now, fence+1, nil)
 			require.True(t, holder.Holds(now))
 			require.EqualValues(t, fence, holder.Fence())
 
 			bad := Row{Data: []byte(data), Rev: fence + 2}
 			for _, l := range []*Lease{holder, other} {
-				if err := l.Read(now, bad, true); err != nil {
-					require.True(t, errors.Is(err, ErrLeaseUnread), err)
+				if err := l.HandleRead(now, bad, true); err != nil {
+					require.True(t, errors.Is(err, ErrLeaseInvalid), err)
 				}
 				require.False(t, l.Holds(now))
 				_, ok := l.Next(now, "t2")
@@ -48,7 +48,7 @@
 			now = now.Add(testLease + testGuard + time.Millisecond)
 			_, ok = other.Next(now, "t3")
 			require.True(t, ok)
-			other.Wrote(now, fence+3, nil)
+			other.HandleWrite(now, fence+3, nil)
 			require.True(t, other.Holds(now))
 			require.Greater(t, other.Fence(), int64(fence))
 			require.Less(t, other.Fence(), int64(math.MaxInt64/2))
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -188,7 +188,7 @@
 // advance moves the changes under way on by what their engines say.
 func (p *Planner) advance(now time.Time, snap *policy.Snapshot, engines []Engine) {
 	present := make(map[netip.AddrPort]bool, len(engines))
-	members := p.members(snap, engines)
+	members := p.replicaSet(snap, engines)
 	for _, e := range engines {
 		present[e.Addr] = true
 		c, ok := p.changes[e.Addr]
@@ -225,7 +225,7 @@
 		}
 		switch {
 		case now.Sub(c.idleSince) >= p.settings.IdleTime:
-			p.enter(now, c, PhaseOrdering)
+			p.setPhase(now, c, PhaseOrdering)
 		case now.Sub(c.Since) > p.settings.DrainTime:
 			p.fail(now, c, "did not drain")
 		}
@@ -235,7 +235,7 @@
 		case e.Weights[c.Want.Model] == c.Want.Weights && c.Want.Weights == "":
 			delete(p.changes, c.Engine)
 		case e.Weights[c.Want.Model] == c.Want.Weights:
-			p.enter(now, c, PhaseProbing)
+			p.setPhase(now, c, PhaseProbing)
 		case now.Sub(c.Since) > p.settings.LoadTime:
 			p.fail(now, c, "was not read back with weights "+c.Want.Weights)
 		}
@@ -245,7 +245,7 @@
 	}
 }
 
-func (p *Planner) enter(now time.Time, c *Change, phase Phase) {
+func (p *Planner) setPhase(now time.Time, c *Change, phase Phase) {
 	c.Phase = phase
 	c.Since = now
 }
@@ -273,7 +273,7 @@
 		p.fail(now, c, "refused the order: "+err.Error())
 		return
 	}
-	p.enter(now, c, PhaseLoading)
+	p.setPhase(now, c, PhaseLoading)
 }
 
 // Probed takes the result of a probe.
@@ -291,7 +291,7 @@
 
 // begin starts changes while the bounds on loads and the floors allow.
 func (p *Planner) begin(now time.Time, snap *policy.Snapshot, engines []Engine) {
-	members := p.members(snap, engines)
+	members := p.replicaSet(snap, engines)
 	p.blocked = ""
 	for _, e := range engines {
 		if p.active(engines) >= p.settings.MaxLoads {
@@ -323,9 +323,9 @@
 	return n
 }
 
-// members returns which engines are to serve the pool's models: those that do
+// replicaSet returns which engines are to serve the pool's models: those that do
 // already first, then by address, up to the declared number.
-func (p *Planner) members(snap *policy.Snapshot, engines []Engine) map[netip.AddrPort]bool {
+func (p *Planner) replicaSet(snap *policy.Snapshot, engines []Engine) map[netip.AddrPort]bool {
 	pool, ok := snap.Pool(p.pool)
 	if !ok || pool.Replicas == 0 {
 		return nil
@@ -413,8 +413,8 @@
 	return p.stopped[w.rollout()]
 }
 
-// Stops returns the stopped rollouts and why.
-func (p *Planner) Stops() map[Rollout]string { return maps.Clone(p.stopped) }
+// StoppedRollouts returns the stopped rollouts and why.
+func (p *Planner) StoppedRollouts() map[Rollout]string { return maps.Clone(p.stopped) }
 
 // Blocked says why no further change is begun, empty if nothing holds back.
 func (p *Planner) Blocked() string { return p.blocked }
@@ -429,5 +429,5 @@
 	return out
 }
 
-// Forget drops all changes under way, as the loss of the lease asks for.
-func (p *Planner) Forget() { clear(p.changes) }
+// Reset drops all changes under way, as the loss of the lease asks for.
+func (p *Planner) Reset() { clear(p.changes) }
--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -36,8 +36,8 @@
 	refuses  bool
 }
 
-// fleetWorld is engines under a planner, or under a new one after a change of holder.
-type fleetWorld struct {
+// fleetSim is engines under a planner, or under a new one after a change of holder.
+type fleetSim struct {
 	now      time.Time
 	snap     *policy.Snapshot
 	planner  *Planner
@@ -46,8 +46,8 @@
 	restarts int
 }
 
-func newFleetWorld(t require.TestingT, n, floor int) *fleetWorld {
-	w := &fleetWorld{now: epoch, floor: floor, snap: testSnapshot(t, 1, "w1", 0, floor)}
+func newFleetSim(t require.TestingT, n, floor int) *fleetSim {
+	w := &fleetSim{now: epoch, floor: floor, snap: testSnapshot(t, 1, "w1", 0, floor)}
 	w.planner = NewPlanner("p", DefaultPlannerSettings())
 	for i := range n {
 		w.engines = append(w.engines, &fakeEngine{Engine: Engine{
@@ -60,7 +60,7 @@
 const testLoad = 3 * time.Second
 
 // round lets the planner work once and carries its orders out; it returns what breaks a promise.
-func (w *fleetWorld) round() error {
+func (w *fleetSim) round() error {
 	w.now = w.now.Add(500 * time.Millisecond)
 	var seen []Engine
 	for _, e := range w.engines {
@@ -82,7 +82,7 @@
 	return w.check()
 }
 
-func (w *fleetWorld) order(s Step) error {
+func (w *fleetSim) order(s Step) error {
 	for _, e := range w.engines {
 		if e.Addr != s.Change.Engine {
 			continue
@@ -102,7 +102,7 @@
 }
 
 // check is the oracle: never more than two load at once, and the planner itself never takes the pool under its floor.
-func (w *fleetWorld) check() error {
+func (w *fleetSim) check() error {
 	loading, serving := 0, 0
 	for _, e := range w.engines {
 		if e.Loading {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (w *fleetWorld) converged() bool {
+func (w *fleetSim) converged() bool {
 	m, _, _ := w.snap.Model("m")
 	for _, e := range w.engines {
 		if e.Weights["m"] != m.Weights {
@@ -133,7 +133,7 @@
 
 func TestPlannerFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newFleetWorld(rt, 5, rapid.IntRange(1, 4).Draw(rt, "floor"))
+		w := newFleetSim(rt, 5, rapid.IntRange(1, 4).Draw(rt, "floor"))
 		pick := func() *fakeEngine { return w.engines[rapid.IntRange(0, len(w.engines)-1).Draw(rt, "engine")] }
 		must := func(err error) {
 			if err != nil {
@@ -173,7 +173,7 @@
 }
 
 func TestPlannerStopsRollout(t *testing.T) {
-	w := newFleetWorld(t, 4, 2)
+	w := newFleetSim(t, 4, 2)
 	w.snap = testSnapshot(t, 2, "w2", 0, 2)
 	for _, e := range w.engines {
 		e.refuses = true
@@ -181,7 +181,7 @@
 	for range 60 {
 		require.NoError(t, w.round())
 	}
-	stops := w.planner.Stops()
+	stops := w.planner.StoppedRollouts()
 	require.Contains(t, stops[Rollout{"m", "w2"}], "refused the order")
 	require.Empty(t, w.planner.Changes())
 
@@ -196,7 +196,7 @@
 }
 
 func TestPlannerSaysWhatBlocks(t *testing.T) {
-	w := newFleetWorld(t, 2, 2)
+	w := newFleetSim(t, 2, 2)
 	w.snap = testSnapshot(t, 2, "w2", 0, 2)
 	require.NoError(t, w.round())
 	require.Contains(t, w.planner.Blocked(), "floor")
@@ -206,17 +206,17 @@
 }
 
 func TestPlannerCountsFailuresBetweenSuccesses(t *testing.T) {
-	w := newFleetWorld(t, 4, 1)
+	w := newFleetSim(t, 4, 1)
 	w.snap = testSnapshot(t, 2, "w2", 0, 1)
 	w.engines[0].refuses, w.engines[3].refuses = true, true
 	for range 60 {
 		require.NoError(t, w.round())
 	}
-	require.Contains(t, w.planner.Stops(), Rollout{"m", "w2"})
+	require.Contains(t, w.planner.StoppedRollouts(), Rollout{"m", "w2"})
 }
 
 func TestPlannerReplicas(t *testing.T) {
-	w := newFleetWorld(t, 4, 1)
+	w := newFleetSim(t, 4, 1)
 	w.snap = testSnapshot(t, 2, "w1", 3, 1)
 	for range 40 {
 		require.NoError(t, w.round())
--- a/fleet/position.go
+++ b/fleet/position.go
@@ -9,11 +9,11 @@
 // which is made of one, may have.
 const (
 	versionBits = 40
-	mostEra     = 1<<(53-versionBits) - 2
+	maxEra      = 1<<(53-versionBits) - 2
 )
 
 // ValidEra reports whether a number can be an era.
-func ValidEra(era int64) bool { return era >= 0 && era <= mostEra }
+func ValidEra(era int64) bool { return era >= 0 && era <= maxEra }
 
 // Position returns the position of a version in an era. A version that is larger than any
 // store reaches in its life counts as the largest.
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -25,13 +25,13 @@
 // The number of relays of a fleet. With three, two may be lost at once; each answers
 // the reports of some 32 members, four a second from each.
 const (
-	leastRelays     = 3
+	minRelays       = 3
 	membersPerRelay = 32
 )
 
 // RelayCount returns how many of a fleet's members relay for the others.
 func RelayCount(members int) int {
-	return max(leastRelays, (members+membersPerRelay-1)/membersPerRelay)
+	return max(minRelays, (members+membersPerRelay-1)/membersPerRelay)
 }
 
 // Relays returns the n members that relay for the others, the first choice first:
@@ -40,19 +40,19 @@
 func Relays(members []Member, n int) []Member {
 	out := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Power <= 0 })
 	slices.SortFunc(out, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(unit(a.ID), unit(b.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(hashFraction(a.ID), hashFraction(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(n, len(out))]
 }
 
-// unit hashes a text to a number between 0 and 1, both excluded.
-func unit(text string) float64 {
+// hashFraction hashes a text to a number between 0 and 1, both excluded.
+func hashFraction(text string) float64 {
 	return (float64(xxh3.HashString(text)>>11) + 0.5) / (1 << 53)
 }
 
-// preferred orders relays for a member: those of its zone first, then by
+// sortByPreference orders relays for a member: those of its zone first, then by
 // rendezvous, so that the members are spread over them.
-func preferred(self Member, relays []Member) []Member {
+func sortByPreference(self Member, relays []Member) []Member {
 	out := slices.Clone(relays)
 	slices.SortFunc(out, func(a, b Member) int {
 		if near := a.Zone == self.Zone; near != (b.Zone == self.Zone) {
@@ -61,14 +61,14 @@
 			}
 			return 1
 		}
-		return cmp.Compare(unit(self.ID+a.ID), unit(self.ID+b.ID))
+		return cmp.Compare(hashFraction(self.ID+a.ID), hashFraction(self.ID+b.ID))
 	})
 	return out
 }
 
-// Home returns the member that a number belongs to, by rendezvous hashing; all who
+// RendezvousOwner returns the member that a number belongs to, by rendezvous hashing; all who
 // know the same members choose the same. It returns false if there is none.
-func Home(members []Member, number uint64) (home Member, ok bool) {
+func RendezvousOwner(members []Member, number uint64) (home Member, ok bool) {
 	best := uint64(0)
 	for _, m := range members {
 		if rank := xxh3.HashStringSeed(m.ID, number); m.Power > 0 && (!ok || rank > best) {
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -51,9 +51,9 @@
 	require.Equal(t, 13, RelayCount(390))
 }
 
-// rosterWorld is a fleet whose processes report to each other; each one's state is
+// rosterSim is a fleet whose processes report to each other; each one's state is
 // its own number of requests.
-type rosterWorld struct {
+type rosterSim struct {
 	t     *rapid.T
 	now   time.Time
 	nodes map[string]*Roster[[]string]
@@ -62,7 +62,7 @@
 	seeds []Member
 }
 
-func (w *rosterWorld) start(m Member) {
+func (w *rosterSim) start(m Member) {
 	m.Epoch = w.now.UnixNano()
 	w.nodes[m.ID] = NewRoster[[]string](w.now, m, 2500*time.Millisecond)
 	w.down[m.ID] = false
@@ -77,7 +77,7 @@
 }
 
 // report lets one process report once, as the shell does.
-func (w *rosterWorld) report(id string) {
+func (w *rosterSim) report(id string) {
 	r := w.nodes[id]
 	word, states := r.Report(w.now)
 	word.State = join([]string{id}, states)
@@ -95,13 +95,13 @@
 	}
 }
 
-func (w *rosterWorld) call(r *Roster[[]string], to Member, word Word[[]string]) {
+func (w *rosterSim) call(r *Roster[[]string], to Member, word RosterMessage[[]string]) {
 	other, ok := w.nodes[to.ID]
 	if !ok || w.down[to.ID] || w.cut[[2]string{r.Self().ID, to.ID}] {
 		r.Failed(w.now, to.ID)
 		return
 	}
-	other.Reported(w.now, word)
+	other.HandleReport(w.now, word)
 	a := other.Answer(w.now, word, 0)
 	answer, states, whole := a.Word, a.States, a.Whole
 	answer.State = join([]string{to.ID}, states)
@@ -109,11 +109,11 @@
 		r.Hint(w.now, append(answer.Members, answer.From)...)
 		return
 	}
-	r.Answered(w.now, answer, whole)
+	r.HandleAnswer(w.now, answer, whole)
 }
 
 // run lets time pass by so many reports of each process, in any order.
-func (w *rosterWorld) run(rounds int) {
+func (w *rosterSim) run(rounds int) {
 	for range rounds {
 		w.now = w.now.Add(500 * time.Millisecond)
 		for _, id := range slices.Sorted(maps.Keys(w.nodes)) {
@@ -126,7 +126,7 @@
 
 // check holds every process's view against what is: all that live are members,
 // nobody else is, and each one's state is counted once.
-func (w *rosterWorld) check() {
+func (w *rosterSim) check() {
 	live := make(map[string]int)
 	for id := range w.nodes {
 		if !w.down[id] {
@@ -136,7 +136,7 @@
 	acting := 0
 	for id := range live {
 		r := w.nodes[id]
-		if r.Acting(w.now) {
+		if r.IsRelay(w.now) {
 			acting++
 		}
 		seen := make(map[string]int)
@@ -145,7 +145,7 @@
 		}
 		require.Equal(w.t, live, seen, "members as %s sees them", id)
 		counted := map[string]int{id: 1}
-		for _, s := range r.Others(w.now, "") {
+		for _, s := range r.OtherStates(w.now, "") {
 			for _, other := range s {
 				counted[other]++
 			}
@@ -159,7 +159,7 @@
 // every roster to what is.
 func TestRosterSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &rosterWorld{
+		w := &rosterSim{
 			t: t, now: time.Unix(1000, 0), nodes: make(map[string]*Roster[[]string]),
 			down: make(map[string]bool), cut: make(map[[2]string]bool),
 		}
@@ -207,7 +207,7 @@
 	self := members[slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(relays, m) })]
 	r := NewRoster[[]string](now, self, 3*time.Second)
 	for _, m := range relays {
-		r.Answered(now, Word[[]string]{From: m, Relay: true, Members: members}, true)
+		r.HandleAnswer(now, RosterMessage[[]string]{From: m, Relay: true, Members: members}, true)
 	}
 	require.Len(t, r.Members(now), len(members))
 	now = now.Add(time.Second)
@@ -215,12 +215,12 @@
 	for _, m := range relays {
 		r.Failed(now, m.ID)
 	}
-	now = now.Add(workEvery)
+	now = now.Add(expiryInterval)
 	require.Len(t, r.Members(now), len(members)-len(relays))
 	for _, m := range r.Relays(now) {
 		require.NotContains(t, relays, m)
 	}
-	brief := r.Brief(now)
+	brief := r.RelayMessage(now)
 	require.Equal(t, r.Relays(now), brief.Relays)
 	require.Empty(t, brief.Members)
 }
@@ -234,10 +234,10 @@
 	}
 	homes := make(map[string]int)
 	for n := range uint64(2000) {
-		before, ok := Home(members, n)
+		before, ok := RendezvousOwner(members, n)
 		require.True(t, ok)
 		homes[before.ID]++
-		after, _ := Home(members[1:], n)
+		after, _ := RendezvousOwner(members[1:], n)
 		if before.ID != "m0" {
 			require.Equal(t, before, after)
 		}
@@ -247,9 +247,9 @@
 	}
 	members[3].Power = 0
 	for n := range uint64(200) {
-		home, _ := Home(members, n)
+		home, _ := RendezvousOwner(members, n)
 		require.NotEqual(t, "m3", home.ID)
 	}
-	_, ok := Home(nil, 1)
+	_, ok := RendezvousOwner(nil, 1)
 	require.False(t, ok)
 }
--- a/fleet/roll_fuzz_test.go
+++ b/fleet/roll_fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// rollEngine is a target that takes orders as it will.
-type rollEngine struct {
+// updateEngine is a target that takes orders as it will.
+type updateEngine struct {
 	addr        netip.AddrPort
 	incarnation int
 	weights     int
@@ -26,34 +26,34 @@
 
 // sentOrder is an order that is carried out later, as it was sent.
 type sentOrder struct {
-	to          *rollEngine
+	to          *updateEngine
 	incarnation int
 	orders      int64
 	weights     int
 	at          time.Time
 }
 
-// rollWorld is a pool under one holder of the lease after the other.
-type rollWorld struct {
+// updateSim is a pool under one holder of the lease after the other.
+type updateSim struct {
 	t       *rapid.T
 	now     time.Time
-	engines []*rollEngine
+	engines []*updateEngine
 	newest  int
-	roll    *Roll
+	roll    *RollingUpdate
 	// asked are the order counts that the present holder read, and busy the
 	// targets that it read as loading or that took its order.
-	asked map[rollID]int64
-	busy  map[rollID]bool
+	asked map[updateID]int64
+	busy  map[updateID]bool
 	late  []sentOrder
 }
 
-func (w *rollWorld) targets() []RollTarget {
-	var out []RollTarget
+func (w *updateSim) targets() []UpdateTarget {
+	var out []UpdateTarget
 	for _, e := range w.engines {
 		if !e.listed {
 			continue
 		}
-		rt := RollTarget{
+		rt := UpdateTarget{
 			Addr: e.addr, Incarnation: route.Incarnation(strconv.Itoa(e.incarnation)), Model: "m",
 			Weights: strconv.Itoa(e.weights), Orders: OrdersUnknown,
 		}
@@ -65,7 +65,7 @@
 	return out
 }
 
-func (w *rollWorld) engine(t RollTarget) *rollEngine {
+func (w *updateSim) engine(t UpdateTarget) *updateEngine {
 	for _, e := range w.engines {
 		if e.addr == t.Addr {
 			return e
@@ -75,7 +75,7 @@
 }
 
 // settle lets loads and late orders that are due take effect.
-func (w *rollWorld) settle() {
+func (w *updateSim) settle() {
 	var still []sentOrder
 	for _, o := range w.late {
 		if o.at.After(w.now) {
@@ -94,7 +94,7 @@
 }
 
 // carryOut does an order, if the engine is what it was meant for.
-func (w *rollWorld) carryOut(o sentOrder) bool {
+func (w *updateSim) carryOut(o sentOrder) bool {
 	e := o.to
 	if e.incarnation != o.incarnation || e.orders != o.orders || e.loading > 0 || e.weights == o.weights {
 		return false
@@ -106,13 +106,13 @@
 }
 
 // round is one round of the holder; lost and late say what becomes of its orders.
-func (w *rollWorld) round(lost, late func() bool) {
+func (w *updateSim) round(lost, late func() bool) {
 	w.settle()
 	targets := w.targets()
 	steps := w.roll.Next(w.now, map[string]string{"m": strconv.Itoa(w.newest)}, targets, shorter)
 	// Targets that left the list meanwhile do not end the changes of others. A load
 	// that began late is held beyond the bound, but none is ordered beside it then.
-	atOnce, loading, held := w.roll.settings.atOnce(len(w.engines)), 0, 0
+	atOnce, loading, held := w.roll.settings.maxConcurrent(len(w.engines)), 0, 0
 	for _, t := range targets {
 		if t.Busy && shorter(t.Weights, strconv.Itoa(w.newest)) {
 			loading++
@@ -127,7 +127,7 @@
 	if len(steps.Orders) > 0 {
 		require.LessOrEqual(w.t, loading+len(steps.Orders), atOnce)
 	}
-	for _, t := range steps.Looks {
+	for _, t := range steps.Polls {
 		if e := w.engine(t); strconv.Itoa(e.incarnation) == string(t.Incarnation) {
 			w.asked[t.id()], w.busy[t.id()] = e.orders, e.loading > 0
 		}
@@ -156,19 +156,19 @@
 // incarnation, no more change at once than may, and calm brings all to the newest.
 func TestRollFuzz(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &rollWorld{t: t, now: time.Unix(1000, 0), newest: 1, asked: make(map[rollID]int64), busy: make(map[rollID]bool)}
+		w := &updateSim{t: t, now: time.Unix(1000, 0), newest: 1, asked: make(map[updateID]int64), busy: make(map[updateID]bool)}
 		newHolder := func() {
-			w.roll = NewRoll(DefaultRollSettings())
+			w.roll = NewRollingUpdate(DefaultUpdateSettings())
 			clear(w.asked)
 			clear(w.busy)
 		}
 		newHolder()
 		for i := range rapid.IntRange(1, 12).Draw(t, "engines") {
-			w.engines = append(w.engines, &rollEngine{
+			w.engines = append(w.engines, &updateEngine{
 				addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), incarnation: 1, weights: 1, listed: true,
 			})
 		}
-		pick := func() *rollEngine { return rapid.SampledFrom(w.engines).Draw(t, "engine") }
+		pick := func() *updateEngine { return rapid.SampledFrom(w.engines).Draw(t, "engine") }
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
--- a/fleet/roll_late_test.go
+++ b/fleet/roll_late_test.go
@@ -24,8 +24,8 @@
 	lateBound = 10 * time.Second
 )
 
-// lateWas is what a target was at a moment.
-type lateWas struct {
+// lateEngineState is what a target was at a moment.
+type lateEngineState struct {
 	at      time.Time
 	weights int
 	orders  int64
@@ -39,17 +39,17 @@
 	orders  int64
 	loading int
 	// left is the work that remains of the load.
-	left time.Duration
-	was  []lateWas
+	left    time.Duration
+	history []lateEngineState
 	// seen is the last report that the holder read, and told when it heard an answer.
-	seen *lateWas
-	told bool
+	seen     *lateEngineState
+	answered bool
 }
 
 // at is what the target was then.
-func (e *lateEngine) at(then time.Time) lateWas {
-	out := e.was[0]
-	for _, w := range e.was {
+func (e *lateEngine) at(then time.Time) lateEngineState {
+	out := e.history[0]
+	for _, w := range e.history {
 		if w.at.After(then) {
 			break
 		}
@@ -60,18 +60,18 @@
 
 // latePool is a pool whose orders are late by chance.
 type latePool struct {
-	now     time.Time
-	rand    *rand.Rand
-	part    float64
-	roll    *Roll
-	engines []*lateEngine
-	named   []time.Time
-	late    []lateOrder
+	now      time.Time
+	rand     *rand.Rand
+	fraction float64
+	roll     *RollingUpdate
+	engines  []*lateEngine
+	named    []time.Time
+	late     []lateOrder
 
 	// What came of it: the orders, the most loads at once, and how long targets
 	// spent on replaced weights, and on weights that serve no more.
-	orders, most int
-	old, refused time.Duration
+	orders, maxLoads int
+	old, unusable    time.Duration
 }
 
 type lateOrder struct {
@@ -81,9 +81,9 @@
 	at      time.Time
 }
 
-func newLatePool(seed uint64, n int, part float64) *latePool {
+func newLatePool(seed uint64, n int, fraction float64) *latePool {
 	p := &latePool{
-		now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, seed)), part: part, roll: NewRoll(DefaultRollSettings()),
+		now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, seed)), fraction: fraction, roll: NewRollingUpdate(DefaultUpdateSettings()),
 	}
 	for i := range n {
 		p.engines = append(p.engines, &lateEngine{
@@ -111,8 +111,8 @@
 			loading++
 		}
 	}
-	p.most = max(p.most, loading)
-	atOnce := p.roll.settings.atOnce(len(p.engines))
+	p.maxLoads = max(p.maxLoads, loading)
+	atOnce := p.roll.settings.maxConcurrent(len(p.engines))
 	for _, e := range p.engines {
 		if e.loading > 0 {
 			e.left -= lateStep * time.Duration(atOnce) / time.Duration(max(loading, atOnce))
@@ -120,11 +120,11 @@
 				e.weights, e.loading = e.loading, 0
 			}
 		}
-		e.was = append(e.was, lateWas{p.now, e.weights, e.orders, e.loading > 0})
+		e.history = append(e.history, lateEngineState{p.now, e.weights, e.orders, e.loading > 0})
 		if e.weights < len(p.named) {
 			p.old += lateStep
 			if p.now.Sub(p.named[e.weights]) > lateBound {
-				p.refused += lateStep
+				p.unusable += lateStep
 			}
 		}
 	}
@@ -139,14 +139,14 @@
 	return true
 }
 
-func (p *latePool) targets() []RollTarget {
-	var out []RollTarget
+func (p *latePool) targets() []UpdateTarget {
+	var out []UpdateTarget
 	for _, e := range p.engines {
-		t := RollTarget{Addr: e.addr, Incarnation: "1", Model: "m", Orders: OrdersUnknown}
+		t := UpdateTarget{Addr: e.addr, Incarnation: "1", Model: "m", Orders: OrdersUnknown}
 		weights := e.at(p.now.Add(-lateList)).weights
 		if e.seen != nil {
 			weights = max(weights, e.seen.weights)
-			t.Orders, t.Busy = e.seen.orders, e.seen.busy || e.told
+			t.Orders, t.Busy = e.seen.orders, e.seen.busy || e.answered
 		}
 		t.Weights = strconv.Itoa(weights)
 		out = append(out, t)
@@ -159,22 +159,22 @@
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(lateStep) {
 		p.settle()
 		steps := p.roll.Next(p.now, map[string]string{"m": strconv.Itoa(len(p.named))}, p.targets(), shorter)
-		byAddr := func(a RollTarget) *lateEngine { return p.engines[a.Addr.Addr().As4()[3]] }
-		for _, l := range steps.Looks {
+		byAddr := func(a UpdateTarget) *lateEngine { return p.engines[a.Addr.Addr().As4()[3]] }
+		for _, l := range steps.Polls {
 			e := byAddr(l)
 			was := e.at(p.now.Add(-lateReport))
-			e.seen, e.told = &was, false
+			e.seen, e.answered = &was, false
 		}
 		for _, o := range steps.Orders {
 			p.orders++
 			weights, err := strconv.Atoi(o.Weights)
 			require.NoError(t, err)
 			sent := lateOrder{to: byAddr(o.Target), orders: o.Target.Orders, weights: weights, at: p.now}
-			if p.rand.Float64() < p.part {
+			if p.rand.Float64() < p.fraction {
 				sent.at = p.now.Add(2*time.Second + time.Duration(p.rand.Int64N(int64(10*time.Second))))
 				p.late = append(p.late, sent)
 			} else if p.carryOut(sent) {
-				sent.to.told = true
+				sent.to.answered = true
 			}
 		}
 	}
@@ -193,8 +193,8 @@
 			p.run(t, 5*time.Second)
 		}
 		p.run(t, 10*time.Second)
-		old, refused = old+p.old, refused+p.refused
-		orders, most = orders+p.orders, most+p.most
+		old, refused = old+p.old, refused+p.unusable
+		orders, most = orders+p.orders, most+p.maxLoads
 		for _, e := range p.engines {
 			require.Equal(t, 5, e.weights, "seed %d, %s", seed, e.addr)
 		}
@@ -220,7 +220,7 @@
 				require.Equal(t, 2, e.weights, "%s", e.addr)
 			}
 			t.Logf("%d targets: %v of old weights, %d orders", n, p.old, p.orders)
-			require.LessOrEqual(t, p.most, atOnce)
+			require.LessOrEqual(t, p.maxLoads, atOnce)
 			require.Equal(t, n, p.orders)
 		})
 	}
--- a/fleet/roll_test.go
+++ b/fleet/roll_test.go
@@ -12,8 +12,8 @@
 // shorter orders numbered weights as route.OlderWeights does.
 func shorter(a, b string) bool { return len(a) < len(b) || len(a) == len(b) && a < b }
 
-func rollTarget(n byte, weights string, load int) RollTarget {
-	return RollTarget{
+func rollTarget(n byte, weights string, load int) UpdateTarget {
+	return UpdateTarget{
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80), Incarnation: "i",
 		Model: "m", Weights: weights, Load: load,
 	}
@@ -21,8 +21,8 @@
 
 // A target with the oldest weights is not passed over by newer namings because it is busy.
 func TestRollOldestFirst(t *testing.T) {
-	r := NewRoll(DefaultRollSettings())
-	targets := []RollTarget{rollTarget(1, "2", 0), rollTarget(2, "2", 0), rollTarget(3, "1", 50)}
+	r := NewRollingUpdate(DefaultUpdateSettings())
+	targets := []UpdateTarget{rollTarget(1, "2", 0), rollTarget(2, "2", 0), rollTarget(3, "1", 50)}
 	steps := r.Next(time.Unix(100, 0), map[string]string{"m": "3"}, targets, shorter)
 	require.Len(t, steps.Holds, 1)
 	require.Equal(t, targets[2].Addr, steps.Holds[0].Addr)
@@ -31,29 +31,29 @@
 // An order waits until the target's order count is known and the hold has spread,
 // and is repeated only once the target was read back without having taken it.
 func TestRollOrders(t *testing.T) {
-	s := DefaultRollSettings()
-	r := NewRoll(s)
+	s := DefaultUpdateSettings()
+	r := NewRollingUpdate(s)
 	now := time.Unix(100, 0)
 	target := rollTarget(1, "1", 0)
 	target.Orders = OrdersUnknown
-	next := func() RollSteps {
-		return r.Next(now, map[string]string{"m": "2"}, []RollTarget{target}, shorter)
+	next := func() UpdateSteps {
+		return r.Next(now, map[string]string{"m": "2"}, []UpdateTarget{target}, shorter)
 	}
 	steps := next()
 	require.Empty(t, steps.Orders)
-	require.Len(t, steps.Looks, 1, "its count is read first")
+	require.Len(t, steps.Polls, 1, "its count is read first")
 	target.Orders = 4
 	require.Empty(t, next().Orders, "the hold has not spread")
 	now = now.Add(s.HoldTime)
 	require.Len(t, next().Orders, 1)
-	now = now.Add(s.FirstLook)
-	require.Len(t, next().Looks, 1)
-	now = now.Add(s.AnswerTime)
+	now = now.Add(s.FirstPollDelay)
+	require.Len(t, next().Polls, 1)
+	now = now.Add(s.AnswerTimeout)
 	steps = next()
 	require.Len(t, steps.Orders, 1, "the order had no effect")
 	require.EqualValues(t, 4, steps.Orders[0].Target.Orders, "at most one of the two takes effect")
 	target.Orders = 5
-	now = now.Add(s.FirstLook)
+	now = now.Add(s.FirstPollDelay)
 	require.Empty(t, next().Orders)
 	target.Weights = "2"
 	require.Empty(t, next().Holds)
@@ -64,26 +64,26 @@
 // half of them begin at first, since all drop what they keep when they begin.
 func TestRollAtOnce(t *testing.T) {
 	for n, want := range map[int]int{3: 2, 9: 2, 90: 18, 140: 28} {
-		s := DefaultRollSettings()
-		next := rollAt(NewRoll(s))
-		var targets []RollTarget
+		s := DefaultUpdateSettings()
+		next := rollAt(NewRollingUpdate(s))
+		var targets []UpdateTarget
 		for i := range n {
 			targets = append(targets, rollTarget(byte(i), "1", 0))
 		}
 		steps := next(0, targets)
 		require.Len(t, steps.Holds, want/2)
 		for _, h := range steps.Holds {
-			targets[slices.IndexFunc(targets, func(t RollTarget) bool { return t.Addr == h.Addr })].Busy = true
+			targets[slices.IndexFunc(targets, func(t UpdateTarget) bool { return t.Addr == h.Addr })].Busy = true
 		}
-		require.Len(t, next(s.Spread-time.Millisecond, targets).Holds, want/2)
-		require.Len(t, next(s.Spread, targets).Holds, want)
-		require.Len(t, next(2*s.Spread, targets).Holds, want)
+		require.Len(t, next(s.FirstOrderSpread-time.Millisecond, targets).Holds, want/2)
+		require.Len(t, next(s.FirstOrderSpread, targets).Holds, want)
+		require.Len(t, next(2*s.FirstOrderSpread, targets).Holds, want)
 	}
 }
 
 // rollAt returns rounds of a roll to weights "2", or those given, so long after its start.
-func rollAt(r *Roll) func(after time.Duration, targets []RollTarget, weights ...string) RollSteps {
-	return func(after time.Duration, targets []RollTarget, weights ...string) RollSteps {
+func rollAt(r *RollingUpdate) func(after time.Duration, targets []UpdateTarget, weights ...string) UpdateSteps {
+	return func(after time.Duration, targets []UpdateTarget, weights ...string) UpdateSteps {
 		named := append(weights, "2")[0]
 		return r.Next(time.Unix(100, 0).Add(after), map[string]string{"m": named}, targets, shorter)
 	}
@@ -92,30 +92,30 @@
 // A target that did not answer its order serves on, is read, and makes room for
 // others; it is ordered again under the same count, to the weights that are the newest then.
 func TestRollUnanswered(t *testing.T) {
-	s := DefaultRollSettings()
-	s.AtOnce, s.AtOncePart = 1, 0
-	next := rollAt(NewRoll(s))
-	targets := []RollTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0)}
+	s := DefaultUpdateSettings()
+	s.MaxConcurrent, s.MaxConcurrentFraction = 1, 0
+	next := rollAt(NewRollingUpdate(s))
+	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0)}
 	next(0, targets)
 	sent := next(s.HoldTime, targets)
 	require.Len(t, sent.Orders, 1)
 	require.Equal(t, targets[:1], sent.Holds)
-	steps := next(s.HoldTime+s.AnswerTime, targets)
+	steps := next(s.HoldTime+s.AnswerTimeout, targets)
 	require.Empty(t, steps.Holds)
-	require.Equal(t, targets[:1], steps.Looks)
-	steps = next(s.Spread, targets)
+	require.Equal(t, targets[:1], steps.Polls)
+	steps = next(s.FirstOrderSpread, targets)
 	require.Equal(t, targets[1:], steps.Holds, "the second has its turn")
-	require.Equal(t, targets[1], next(s.Spread+s.HoldTime, targets).Orders[0].Target)
-	steps = next(s.HoldTime+s.OrderEvery, targets, "3")
+	require.Equal(t, targets[1], next(s.FirstOrderSpread+s.HoldTime, targets).Orders[0].Target)
+	steps = next(s.HoldTime+s.OrderInterval, targets, "3")
 	require.Len(t, steps.Orders, 1)
-	require.Equal(t, RollOrder{Target: targets[0], Weights: "3"}, steps.Orders[0])
+	require.Equal(t, UpdateOrder{Target: targets[0], Weights: "3"}, steps.Orders[0])
 }
 
 // Loads that run count, whoever ordered them: a new holder orders none beside them.
 func TestRollCountsLoads(t *testing.T) {
-	s := DefaultRollSettings()
-	next := rollAt(NewRoll(s))
-	targets := []RollTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0), rollTarget(3, "1", 0)}
+	s := DefaultUpdateSettings()
+	next := rollAt(NewRollingUpdate(s))
+	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0), rollTarget(3, "1", 0)}
 	targets[0].Busy, targets[1].Busy = true, true
 	require.Len(t, next(0, targets).Holds, 2)
 	steps := next(s.HoldTime, targets)
@@ -128,9 +128,9 @@
 
 // A target that was about to be ordered waits when late orders fill the places.
 func TestRollLateFillsPlaces(t *testing.T) {
-	s := DefaultRollSettings()
-	next := rollAt(NewRoll(s))
-	targets := []RollTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0), rollTarget(3, "1", 0)}
+	s := DefaultUpdateSettings()
+	next := rollAt(NewRollingUpdate(s))
+	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0), rollTarget(3, "1", 0)}
 	require.Len(t, next(0, targets).Holds, 1)
 	targets[1].Busy, targets[2].Busy = true, true
 	steps := next(s.HoldTime, targets)
@@ -140,16 +140,16 @@
 
 // A target that loads for ever does not keep the others waiting, and is not ordered again.
 func TestRollGivesUp(t *testing.T) {
-	s := DefaultRollSettings()
-	s.AtOnce, s.AtOncePart = 1, 0
-	next := rollAt(NewRoll(s))
-	targets := []RollTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0)}
+	s := DefaultUpdateSettings()
+	s.MaxConcurrent, s.MaxConcurrentFraction = 1, 0
+	next := rollAt(NewRollingUpdate(s))
+	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0)}
 	targets[0].Busy = true
 	require.Equal(t, targets[0].Addr, next(0, targets).Holds[0].Addr)
-	steps := next(s.GiveUp+time.Millisecond, targets)
+	steps := next(s.LoadTimeout+time.Millisecond, targets)
 	require.Len(t, steps.Holds, 1)
 	require.Equal(t, targets[1].Addr, steps.Holds[0].Addr)
-	steps = next(s.GiveUp+time.Millisecond+s.HoldTime, targets)
+	steps = next(s.LoadTimeout+time.Millisecond+s.HoldTime, targets)
 	require.Len(t, steps.Orders, 1)
 	require.Equal(t, targets[1].Addr, steps.Orders[0].Target.Addr)
 }
@@ -157,21 +157,21 @@
 // Targets that can't be read are not ordered. They serve nothing either, so fewer
 // change beside them, but never less than half.
 func TestRollSilent(t *testing.T) {
-	s := DefaultRollSettings()
+	s := DefaultUpdateSettings()
 	for silent, want := range map[int]int{0: 4, 1: 3, 2: 2, 5: 2} {
-		next := rollAt(NewRoll(s))
-		var targets []RollTarget
+		next := rollAt(NewRollingUpdate(s))
+		var targets []UpdateTarget
 		for i := range 20 {
 			target := rollTarget(byte(i), "1", 0)
 			target.Orders = OrdersUnknown
 			targets = append(targets, target)
 		}
-		require.Len(t, next(0, targets).Looks, 20)
+		require.Len(t, next(0, targets).Polls, 20)
 		for i := range targets[silent:] {
 			targets[silent+i].Orders = 0
 		}
 		most := 0
-		for at := s.AnswerTime + time.Millisecond; at < time.Second; at += 30 * time.Millisecond {
+		for at := s.AnswerTimeout + time.Millisecond; at < time.Second; at += 30 * time.Millisecond {
 			steps := next(at, targets)
 			most = max(most, len(steps.Holds))
 			for _, o := range steps.Orders {
@@ -182,21 +182,21 @@
 		require.Equal(t, want, most, "%d silent", silent)
 	}
 	// One that falls silent after it was chosen is not ordered without its count.
-	next := rollAt(NewRoll(s))
+	next := rollAt(NewRollingUpdate(s))
 	target := rollTarget(1, "1", 0)
-	require.Len(t, next(0, []RollTarget{target}).Holds, 1)
+	require.Len(t, next(0, []UpdateTarget{target}).Holds, 1)
 	target.Orders = OrdersUnknown
-	require.Empty(t, next(s.HoldTime, []RollTarget{target}).Orders)
+	require.Empty(t, next(s.HoldTime, []UpdateTarget{target}).Orders)
 }
 
 // A target that serves two models is brought to the newest weights of the one that
 // is old, whatever the other's are.
 func TestRollTwoModels(t *testing.T) {
-	s := DefaultRollSettings()
-	r := NewRoll(s)
+	s := DefaultUpdateSettings()
+	r := NewRollingUpdate(s)
 	old, other := rollTarget(1, "1", 0), rollTarget(1, "7", 0)
 	other.Model = "n"
-	for _, targets := range [][]RollTarget{{old, other}, {other, old}} {
+	for _, targets := range [][]UpdateTarget{{old, other}, {other, old}} {
 		r.Reset()
 		named := map[string]string{"m": "2", "n": "7"}
 		require.Len(t, r.Next(time.Unix(100, 0), named, targets, shorter).Holds, 1)
@@ -210,16 +210,16 @@
 // the target is read with a higher count, the next order goes out at once, and to the
 // newest weights. Waiting for the first to take effect stood the pool still for seconds.
 func TestRollCountReadTooEarly(t *testing.T) {
-	s := DefaultRollSettings()
-	r := NewRoll(s)
+	s := DefaultUpdateSettings()
+	r := NewRollingUpdate(s)
 	now := time.Unix(100, 0)
 	target := rollTarget(1, "3", 0)
 	target.Orders = 1
-	next := func() RollSteps {
-		now = now.Add(s.LookEvery)
-		return r.Next(now, map[string]string{"m": "4"}, []RollTarget{target}, shorter)
+	next := func() UpdateSteps {
+		now = now.Add(s.LoadingPollInterval)
+		return r.Next(now, map[string]string{"m": "4"}, []UpdateTarget{target}, shorter)
 	}
-	var first RollSteps
+	var first UpdateSteps
 	for range 5 {
 		if first = next(); len(first.Orders) > 0 {
 			break
@@ -230,7 +230,7 @@
 
 	target.Orders = 2
 	ordered := now
-	for now.Sub(ordered) < s.GiveUp {
+	for now.Sub(ordered) < s.LoadTimeout {
 		if steps := next(); len(steps.Orders) > 0 {
 			require.EqualValues(t, 2, steps.Orders[0].Target.Orders)
 			require.Less(t, now.Sub(ordered), time.Second)
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -20,8 +20,8 @@
 	Payload P
 }
 
-// Heard is an entry and how long ago it advanced here.
-type Heard[P any] struct {
+// AgedEntry is an entry and how long ago it advanced here.
+type AgedEntry[P any] struct {
 	Entry[P]
 	Age time.Duration
 }
@@ -42,11 +42,11 @@
 	self    Entry[P]
 	timeout time.Duration
 	seeds   []netip.AddrPort
-	peers   map[string]*known[P]
+	peers   map[string]*peerRecord[P]
 }
 
-// known is an entry and when it last advanced here.
-type known[P any] struct {
+// peerRecord is an entry and when it last advanced here.
+type peerRecord[P any] struct {
 	entry Entry[P]
 	at    time.Time
 }
@@ -58,7 +58,7 @@
 		self:    Entry[P]{ID: id, Addr: addr, Epoch: epoch},
 		timeout: timeout,
 		seeds:   seeds,
-		peers:   make(map[string]*known[P]),
+		peers:   make(map[string]*peerRecord[P]),
 	}
 }
 
@@ -93,21 +93,21 @@
 		if !ok || now.Sub(k.at) > v.timeout {
 			joined = append(joined, e.ID)
 		}
-		v.peers[e.ID] = &known[P]{entry: e, at: now}
+		v.peers[e.ID] = &peerRecord[P]{entry: e, at: now}
 	}
 	return joined
 }
 
-// Amend changes what a process said of itself, if it is the one of that epoch.
-func (v *View[P]) Amend(id string, epoch int64, change func(*P)) {
+// UpdatePayload changes what a process said of itself, if it is the one of that epoch.
+func (v *View[P]) UpdatePayload(id string, epoch int64, change func(*P)) {
 	if k, ok := v.peers[id]; ok && k.entry.Epoch == epoch {
 		change(&k.entry.Payload)
 	}
 }
 
-// Later returns the name of a life of a peer that is known and that counts as later
+// NewerEpoch returns the name of a life of a peer that is known and that counts as later
 // than the one of an epoch, to be told to that one.
-func (v *View[P]) Later(id string, epoch int64) (e Entry[P], ok bool) {
+func (v *View[P]) NewerEpoch(id string, epoch int64) (e Entry[P], ok bool) {
 	k, ok := v.peers[id]
 	if !ok || k.entry.Epoch <= epoch {
 		return e, false
@@ -118,9 +118,9 @@
 // Epoch is this process's own.
 func (v *View[P]) Epoch() int64 { return v.self.Epoch }
 
-// forgetAfter is how many timeouts a lost peer is remembered, so that a late
+// forgetTimeouts is how many timeouts a lost peer is remembered, so that a late
 // relay of an old entry does not bring it back.
-const forgetAfter = 20
+const forgetTimeouts = 20
 
 // Expire returns the ids of peers lost since the last call at before, and forgets those lost long ago.
 func (v *View[P]) Expire(before, now time.Time) (lost []string) {
@@ -129,7 +129,7 @@
 		if gone > v.timeout && before.Sub(k.at) <= v.timeout {
 			lost = append(lost, id)
 		}
-		if gone > forgetAfter*v.timeout {
+		if gone > forgetTimeouts*v.timeout {
 			delete(v.peers, id)
 		}
 	}
@@ -139,7 +139,7 @@
 
 // Live returns the entries of the peers heard of within the timeout.
 func (v *View[P]) Live(now time.Time) []Entry[P] {
-	heard := v.Heard(now)
+	heard := v.LiveWithAge(now)
 	out := make([]Entry[P], len(heard))
 	for i, h := range heard {
 		out[i] = h.Entry
@@ -147,15 +147,15 @@
 	return out
 }
 
-// Heard returns the same entries, each with its age here.
-func (v *View[P]) Heard(now time.Time) []Heard[P] {
-	var out []Heard[P]
+// LiveWithAge returns the same entries, each with its age here.
+func (v *View[P]) LiveWithAge(now time.Time) []AgedEntry[P] {
+	var out []AgedEntry[P]
 	for _, k := range v.peers {
 		if age := now.Sub(k.at); age <= v.timeout {
-			out = append(out, Heard[P]{k.entry, age})
+			out = append(out, AgedEntry[P]{k.entry, age})
 		}
 	}
-	slices.SortFunc(out, func(a, b Heard[P]) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b AgedEntry[P]) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
@@ -196,8 +196,8 @@
 	return out
 }
 
-// Everyone returns the addresses of all live peers and of all seeds.
-func (v *View[P]) Everyone(now time.Time) []netip.AddrPort {
+// AllAddresses returns the addresses of all live peers and of all seeds.
+func (v *View[P]) AllAddresses(now time.Time) []netip.AddrPort {
 	all := slices.Clone(v.seeds)
 	for _, e := range v.Live(now) {
 		all = append(all, e.Addr)
--- a/node/ages.go
+++ b/node/ages.go
@@ -31,7 +31,7 @@
 func (r *relays) age(now time.Time) (large bool, age time.Duration, told bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.roster.Heard()
+	at := r.roster.LastRelayContact()
 	return r.large, now.Sub(at), !at.IsZero() && now.Sub(at) <= rosterTimeout
 }
 
--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -66,16 +66,16 @@
 					return w.Code
 				}
 				n.adopt(*declared, "the store")
-				n.heard(time.Now(), fleet.PeerWord{Revision: 1})
+				n.heard(time.Now(), fleet.ConfigStatus{Revision: 1})
 				time.Sleep(n.settings().Bounds.Revoke)
 				require.Equal(t, c.never, admit(), "no word for longer than the bounds")
 
-				n.heard(time.Now(), fleet.PeerWord{Revision: 1})
-				n.heard(time.Now(), fleet.PeerWord{Revision: 2})
+				n.heard(time.Now(), fleet.ConfigStatus{Revision: 1})
+				n.heard(time.Now(), fleet.ConfigStatus{Revision: 2})
 				require.Equal(t, c.told, admit(), "at the word of a newer one")
 				for range 5 {
 					time.Sleep(n.settings().Bounds.Apply / 5)
-					n.heard(time.Now(), fleet.PeerWord{Revision: 2})
+					n.heard(time.Now(), fleet.ConfigStatus{Revision: 2})
 				}
 				require.Equal(t, c.late, admit(), "past the bound after it")
 			})
--- a/node/duty.go
+++ b/node/duty.go
@@ -44,7 +44,7 @@
 	// mu guards the fields below; it is taken inside the node's lock, never around it.
 	mu     sync.Mutex
 	lease  *fleet.Lease
-	roll   *fleet.Roll
+	roll   *fleet.RollingUpdate
 	states map[route.Mark]TargetState
 	// looking are the targets that are being read.
 	looking map[route.Mark]bool
@@ -70,16 +70,16 @@
 		wake: make(chan struct{}, 1),
 		// The next holder waits for longer than the bound between two holders' orders.
 		lease:   fleet.NewLease(leaseName, n.settings().Name+"@"+n.settings().Peers.Addr().String(), leaseTime, n.settings().Bounds.Lease+orderMargin),
-		roll:    fleet.NewRoll(n.rollSettings()),
+		roll:    fleet.NewRollingUpdate(n.rollSettings()),
 		states:  make(map[route.Mark]TargetState),
 		looking: make(map[route.Mark]bool),
 	}
 }
 
-func (n *Node) rollSettings() fleet.RollSettings {
-	s := fleet.DefaultRollSettings()
+func (n *Node) rollSettings() fleet.UpdateSettings {
+	s := fleet.DefaultUpdateSettings()
 	if n.off.Has(route.Pairs) {
-		s.AtOnce, s.AtOncePart = 1, 0
+		s.MaxConcurrent, s.MaxConcurrentFraction = 1, 0
 	}
 	return s
 }
@@ -173,12 +173,12 @@
 
 // work returns the newest weights of each model and the targets that serve one; there are none
 // while all is quiet.
-func (d *duty) work() (map[string]string, []fleet.RollTarget) {
+func (d *duty) work() (map[string]string, []fleet.UpdateTarget) {
 	named := make(map[string]string)
 	if d.quiet() {
 		return named, nil
 	}
-	var out []fleet.RollTarget
+	var out []fleet.UpdateTarget
 	list := d.n.list.get()
 	d.n.Lock()
 	defer d.n.Unlock()
@@ -193,7 +193,7 @@
 		state, asked := d.states[mark]
 		for model, weights := range t.Report.Weights {
 			named[model] = b.NewestWeights(model)
-			rt := fleet.RollTarget{
+			rt := fleet.UpdateTarget{
 				Addr: t.Seen.Addr, Incarnation: t.Report.Incarnation, Model: model, Weights: weights,
 				Orders: fleet.OrdersUnknown,
 			}
@@ -216,7 +216,7 @@
 }
 
 // due reports whether some target has older weights than are named.
-func (d *duty) due(named map[string]string, targets []fleet.RollTarget) bool {
+func (d *duty) due(named map[string]string, targets []fleet.UpdateTarget) bool {
 	for _, t := range targets {
 		if route.OlderWeights(t.Weights, named[t.Model]) {
 			return true
@@ -241,7 +241,7 @@
 }
 
 // round takes or renews the lease and does what is due. It returns the pause until the next.
-func (d *duty) round(ctx context.Context, named map[string]string, targets []fleet.RollTarget) time.Duration {
+func (d *duty) round(ctx context.Context, named map[string]string, targets []fleet.UpdateTarget) time.Duration {
 	now := d.n.now()
 	d.mu.Lock()
 	if d.workSince.IsZero() {
@@ -300,7 +300,7 @@
 	d.readAt = d.n.now()
 	var unread error
 	if err == nil {
-		unread = d.lease.Read(d.n.now(), row, ok)
+		unread = d.lease.HandleRead(d.n.now(), row, ok)
 	}
 	note, nodes := d.lease.Note(), d.lease.Processes()
 	d.mu.Unlock()
@@ -352,7 +352,7 @@
 	if ok {
 		rev, err := d.n.store.Commit(ctx, token, w)
 		d.mu.Lock()
-		d.lease.Wrote(d.n.now(), rev, err)
+		d.lease.HandleWrite(d.n.now(), rev, err)
 		settled := d.lease.Settled()
 		d.mu.Unlock()
 		if !settled {
--- a/node/fetch.go
+++ b/node/fetch.go
@@ -11,7 +11,7 @@
 )
 
 // takeWord takes a relay's word on the configuration and fetches a newer one.
-func (n *Node) takeWord(ctx context.Context, begun time.Time, addr netip.AddrPort, w fleet.PeerWord) {
+func (n *Node) takeWord(ctx context.Context, begun time.Time, addr netip.AddrPort, w fleet.ConfigStatus) {
 	n.heard(begun, w)
 	n.Lock()
 	behind := w.Revision > n.adoption.Revision()
--- a/node/fleet_rollout_test.go
+++ b/node/fleet_rollout_test.go
@@ -65,7 +65,7 @@
 	f.store.mu.Unlock()
 	for i, n := range f.nodes {
 		members := n.relays.known()
-		home, ok := fleet.Home(members, revision)
+		home, ok := fleet.RendezvousOwner(members, revision)
 		require.True(f.t, ok)
 		if home.ID == n.settings().Name {
 			f.net.silence(n.settings().Peers.Addr())
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -205,7 +205,7 @@
 		require.NoError(t, err)
 		for i := range engines {
 			store.loaded[simEngineAddr(i)] = &simEngine{weights: "2"}
-			n.duty.look(t.Context(), fleet.RollTarget{Addr: simEngineAddr(i), Incarnation: "i", Model: simModel, Weights: "1"})
+			n.duty.look(t.Context(), fleet.UpdateTarget{Addr: simEngineAddr(i), Incarnation: "i", Model: simModel, Weights: "1"})
 		}
 		_, words := n.duty.told()
 		require.Len(t, words, engines)
--- a/node/forward.go
+++ b/node/forward.go
@@ -50,7 +50,7 @@
 	f := &forwarding{n: n, v: v, req: n.request(v), head: callerHeader(v.r.Header)}
 	n.noteAges(n.now())
 	n.askHolders(v.r.Context(), f.req)
-	c := dispatch.NamedCall(v.ask.ID)
+	c := dispatch.NewCallWithID(v.ask.ID)
 	refusal := n.Serve(v.r.Context(), f.req, c, f.send)
 	n.counters.finished(n.now.Since(v.begun), refusal)
 	f.noteLate(refusal)
--- a/node/holders.go
+++ b/node/holders.go
@@ -86,7 +86,7 @@
 	if !r.large {
 		return fleet.Member{}, false
 	}
-	m, ok := fleet.Home(r.roster.Relays(r.n.now()), part)
+	m, ok := fleet.RendezvousOwner(r.roster.Relays(r.n.now()), part)
 	return m, ok && m.ID != r.roster.Self().ID
 }
 
--- a/node/list_pages.go
+++ b/node/list_pages.go
@@ -81,7 +81,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if heard := r.roster.Heard(); heard.IsZero() || r.n.now.Since(heard) > rosterTimeout {
+	if heard := r.roster.LastRelayContact(); heard.IsZero() || r.n.now.Since(heard) > rosterTimeout {
 		return relayPatience
 	}
 	return heardPatience
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -108,7 +108,7 @@
 	n.metrics.NewGauge("pathhead_revision_known", func() float64 {
 		n.Lock()
 		defer n.Unlock()
-		return float64(n.adoption.Wanted())
+		return float64(n.adoption.NewestKnown())
 	})
 	n.metrics.NewGauge("pathhead_confirmation_age_seconds", func() float64 {
 		return n.standing().age.Seconds()
--- a/node/node.go
+++ b/node/node.go
@@ -210,7 +210,7 @@
 		route.WithExposure(s.Bounds.Exposure),
 		route.WithCrashes(n.crashSettings, n.crashSeen.wake),
 	)
-	n.Driver = dispatch.New(board, dispatch.WithEnded(n.counters.attempt), dispatch.WithClock(n.now))
+	n.Driver = dispatch.New(board, dispatch.WithAttemptEndHook(n.counters.attempt), dispatch.WithClock(n.now))
 	n.crashes = peer.NewCrashGossip(n.CrashesSince, n.takeCrashes)
 	n.gossip = peer.NewGossip(peer.GossipConfig{
 		ID: s.Name, Addr: s.Peers, Seeds: s.Seeds, Timeout: peerTimeout, Seed: seed, Clock: n.now,
--- a/node/orders.go
+++ b/node/orders.go
@@ -12,7 +12,7 @@
 )
 
 // act does one round under the lease.
-func (d *duty) act(ctx context.Context, named map[string]string, targets []fleet.RollTarget) {
+func (d *duty) act(ctx context.Context, named map[string]string, targets []fleet.UpdateTarget) {
 	steps := d.roll.Next(d.n.now(), named, targets, route.OlderWeights)
 	if d.setHolds(steps.Holds) {
 		d.n.tellBoard()
@@ -22,13 +22,13 @@
 	for _, o := range steps.Orders {
 		d.calls.Go(func() { d.order(ctx, o) })
 	}
-	for _, t := range steps.Looks {
+	for _, t := range steps.Polls {
 		d.calls.Go(func() { d.look(ctx, t) })
 	}
 }
 
 // setHolds takes the targets that get no new work and reports whether they changed.
-func (d *duty) setHolds(ts []fleet.RollTarget) bool {
+func (d *duty) setHolds(ts []fleet.UpdateTarget) bool {
 	marks := make([]route.Mark, 0, len(ts))
 	set := make(map[route.Mark]bool, len(ts))
 	for _, t := range ts {
@@ -47,7 +47,7 @@
 }
 
 // order sends one order if the lease lasts for long enough.
-func (d *duty) order(ctx context.Context, o fleet.RollOrder) {
+func (d *duty) order(ctx context.Context, o fleet.UpdateOrder) {
 	mark := route.Mark{Target: o.Target.Addr, Incarnation: o.Target.Incarnation}
 	detail := fmt.Sprintf("%s %s in place of %s, after %d orders", o.Target.Model, o.Weights, o.Target.Weights, o.Target.Orders)
 	d.mu.Lock()
@@ -82,7 +82,7 @@
 var errOtherStart = errs.Tag("another start answered than the list names")
 
 // look reads a target back and tells everyone of new weights.
-func (d *duty) look(ctx context.Context, t fleet.RollTarget) {
+func (d *duty) look(ctx context.Context, t fleet.UpdateTarget) {
 	mark := route.Mark{Target: t.Addr, Incarnation: t.Incarnation}
 	d.mu.Lock()
 	under := d.looking[mark]
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -40,7 +40,7 @@
 			engines := &statedEngines{state: TargetState{Start: c.start, Weights: map[string]string{simModel: "2"}, Orders: 3}}
 			n, err := New(validSettings(), newSimStore(1), nil, engines)
 			require.NoError(t, err)
-			target := fleet.RollTarget{Addr: simEngineAddr(0), Incarnation: route.NewIncarnation("i", listed), Model: simModel, Weights: "1"}
+			target := fleet.UpdateTarget{Addr: simEngineAddr(0), Incarnation: route.NewIncarnation("i", listed), Model: simModel, Weights: "1"}
 			mark := route.Mark{Target: target.Addr, Incarnation: target.Incarnation}
 			n.duty.states[mark] = TargetState{Orders: 1}
 			n.duty.look(t.Context(), target)
--- a/node/peers.go
+++ b/node/peers.go
@@ -59,16 +59,16 @@
 		Door:     n.settings().Operators,
 		Zone:     n.settings().Zone,
 		Power:    n.settings().Power,
-		Word:     n.adoption.Word(now),
+		Word:     n.adoption.Status(now),
 		State:    state,
 	}
 }
 
 // heard takes a peer's word on configuration.
-func (n *Node) heard(begun time.Time, w fleet.PeerWord) {
+func (n *Node) heard(begun time.Time, w fleet.ConfigStatus) {
 	n.Lock()
 	defer n.Unlock()
-	n.adoption.Peer(begun, w)
+	n.adoption.ObservePeer(begun, w)
 }
 
 // Exchange implements [peer.Handler].
--- a/node/recent_test.go
+++ b/node/recent_test.go
@@ -41,8 +41,8 @@
 	reporter := fleet.Member{ID: "r", Addr: netip.MustParseAddrPort("10.0.0.2:1")}
 	relay := fleet.Member{ID: "b", Addr: netip.MustParseAddrPort("10.0.0.3:1"), Power: 2}
 	now := time.Now()
-	r.roster.Reported(now, fleet.Word[route.PeerState]{From: reporter})
-	r.roster.Answered(now, fleet.Word[route.PeerState]{From: relay, Relay: true}, false)
+	r.roster.HandleReport(now, fleet.RosterMessage[route.PeerState]{From: reporter})
+	r.roster.HandleAnswer(now, fleet.RosterMessage[route.PeerState]{From: relay, Relay: true}, false)
 	mine, theirs := route.Recent{Target: 1, Prefill: 900}, route.Recent{Target: 2, Prefill: 800}
 	r.heardRecent(peer.RecentNotice{Recent: []route.Recent{mine}})
 	r.heardRecent(peer.RecentNotice{Recent: []route.Recent{theirs}, Relayed: true})
--- a/node/relay.go
+++ b/node/relay.go
@@ -81,7 +81,7 @@
 	self := fleet.Member{ID: s.Name, Addr: s.Peers, Zone: s.Zone, Epoch: now.UnixNano(), Power: s.Power}
 	return &relays{
 		n:       n,
-		roster:  fleet.NewRoster(now, self, rosterTimeout, fleet.WithAged(route.PeerState.Aged)),
+		roster:  fleet.NewRoster(now, self, rosterTimeout, fleet.WithStateAging(route.PeerState.Aged)),
 		entries: route.NewFeed[netip.AddrPort](sameEntry),
 		members: route.NewFeed[string](func(a, b fleet.Member) bool { return a == b }),
 		outbox:  newOutbox(),
@@ -187,7 +187,7 @@
 func (r *relays) others() route.PeerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return route.Join(r.roster.Others(r.n.now(), ""))
+	return route.Join(r.roster.OtherStates(r.n.now(), ""))
 }
 
 // note logs a change of this node's part.
--- a/node/relay_answer.go
+++ b/node/relay_answer.go
@@ -70,7 +70,7 @@
 		return out
 	}
 	// What a reporter says of newer configuration is unconfirmed, since its clock for it is not ours.
-	n.heard(time.Time{}, fleet.PeerWord{Revision: in.Config.Revision, ConfirmedAge: -1})
+	n.heard(time.Time{}, fleet.ConfigStatus{Revision: in.Config.Revision, ConfirmedAge: -1})
 	n.domains.note(in.Word.From.Addr, in.Word.From.Zone)
 	n.Lock()
 	// A relay tells the other relays itself.
@@ -101,7 +101,7 @@
 func (r *relays) brief() peer.RelayAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return peer.RelayAnswer{Stamp: r.n.events.Clock().Now(), Word: r.roster.Brief(r.n.now())}
+	return peer.RelayAnswer{Stamp: r.n.events.Clock().Now(), Word: r.roster.RelayMessage(r.n.now())}
 }
 
 // answer answers a report but for what is on the board.
@@ -110,7 +110,7 @@
 	defer r.mu.Unlock()
 	now := r.n.now()
 	out := peer.RelayAnswer{Stamp: r.n.events.Clock().Now()}
-	r.roster.Reported(now, in.Word)
+	r.roster.HandleReport(now, in.Word)
 	answer := r.roster.Answer(now, in.Word, in.Digest)
 	out.Word, out.Whole, out.Digest, out.Same = answer.Word, answer.Whole, answer.Digest, answer.Same
 	if out.Whole {
--- a/node/relay_report.go
+++ b/node/relay_report.go
@@ -197,7 +197,7 @@
 		r.mu.Unlock()
 		return
 	}
-	r.roster.Answered(now, a.Word, a.Whole)
+	r.roster.HandleAnswer(now, a.Word, a.Whole)
 	if a.News != nil && a.News.Paged {
 		r.mu.Unlock()
 		r.fetchList(ctx, from)
@@ -316,7 +316,7 @@
 // relayState returns what the node says of itself to relays: its state, and its word
 // on the configuration. Holds go from the holder of the lease to everyone at once,
 // and what engines hold is told by their events.
-func (n *Node) relayState() (route.PeerState, fleet.PeerWord) {
+func (n *Node) relayState() (route.PeerState, fleet.ConfigStatus) {
 	n.Lock()
 	defer n.Unlock()
 	now := n.now()
@@ -324,5 +324,5 @@
 	// Each relay is told of shared parts once.
 	state.Fills, state.Kept, state.Shared = nil, nil, nil
 	_, state.Loaded = n.duty.told()
-	return state, n.adoption.Word(now)
+	return state, n.adoption.Status(now)
 }
--- a/node/relay_report_test.go
+++ b/node/relay_report_test.go
@@ -59,7 +59,7 @@
 		f := newSimFleet(t, simSite{nodes: 20, engines: 10, perSecond: 10})
 		f.settle()
 		defer f.end()
-		asked := peer.RelayReport{Word: fleet.Word[route.PeerState]{From: fleet.Member{ID: "node-999"}}, Asks: true}
+		asked := peer.RelayReport{Word: fleet.RosterMessage[route.PeerState]{From: fleet.Member{ID: "node-999"}}, Asks: true}
 		for _, n := range f.nodes {
 			r := n.relays
 			if !r.leads() {
--- a/node/rollout.go
+++ b/node/rollout.go
@@ -70,7 +70,7 @@
 	}
 	for _, u := range known {
 		// A process alone, or one that is no member yet, has nobody to leave it to.
-		if home, ok := fleet.Home(members, uint64(u.Order.Revision)); !ok || home.ID == n.settings().Name {
+		if home, ok := fleet.RendezvousOwner(members, uint64(u.Order.Revision)); !ok || home.ID == n.settings().Name {
 			out = append(out, u.Order)
 		}
 	}
--- a/node/watch.go
+++ b/node/watch.go
@@ -174,7 +174,7 @@
 func (n *Node) storeState(err error) {
 	n.Lock()
 	defer n.Unlock()
-	was := n.adoption.Word(n.now()).TableDown
+	was := n.adoption.Status(n.now()).TableDown
 	switch {
 	case err != nil && !was:
 		n.adoption.TableDown()
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -38,7 +38,7 @@
 	client         *Client
 	rec            *event.Recorder
 	payload        func(now time.Time) Payload
-	onConfigStatus func(begun time.Time, w fleet.PeerWord)
+	onConfigStatus func(begun time.Time, w fleet.ConfigStatus)
 	newestWeights  func(now time.Time) []route.NewestWord
 	// receivedNewest takes what a peer told of the newest weights.
 	onNewestWeights func(begun time.Time, peer string, words []route.NewestWord)
@@ -68,7 +68,7 @@
 	// Payload returns what the process says of itself.
 	Payload func(now time.Time) Payload
 	// Heard takes a peer's word on configuration, got by a call that began at begun.
-	OnConfigStatus func(begun time.Time, w fleet.PeerWord)
+	OnConfigStatus func(begun time.Time, w fleet.ConfigStatus)
 	// Newest returns what the process knows of the newest weights of models, and
 	// OnNewestWeights takes what a peer told, as Heard does. Both may be nil.
 	NewestWeights   func(now time.Time) []route.NewestWord
@@ -170,7 +170,7 @@
 // ExchangeWithAll exchanges with every seed and live peer, and returns their addresses.
 func (g *Gossip) ExchangeWithAll(ctx context.Context) []netip.AddrPort {
 	g.mu.Lock()
-	addrs := g.view.Everyone(g.now())
+	addrs := g.view.AllAddresses(g.now())
 	g.mu.Unlock()
 	g.exchangeAll(ctx, addrs)
 	return addrs
@@ -205,7 +205,7 @@
 // was on its way.
 func (g *Gossip) Exchange(in Exchange) Exchange {
 	g.merge(in)
-	g.onConfigStatus(time.Time{}, fleet.PeerWord{Revision: in.Word.Revision, ConfirmedAge: -1})
+	g.onConfigStatus(time.Time{}, fleet.ConfigStatus{Revision: in.Word.Revision, ConfirmedAge: -1})
 	g.onNewestWeights(time.Time{}, in.From, in.Newest)
 	out := g.localMessage(in.From, g.forwardLimit(in.Fresh))
 	out.Crashes = g.crashes.HandleRequest(in.Crashes)
@@ -221,7 +221,7 @@
 	defer g.mu.Unlock()
 	for _, e := range in.Entries {
 		if e.ID == in.From {
-			return g.view.Later(e.ID, e.Epoch)
+			return g.view.NewerEpoch(e.ID, e.Epoch)
 		}
 	}
 	return Entry{}, false
@@ -299,7 +299,7 @@
 func (g *Gossip) Placed(w PlacedNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.view.Amend(w.From, w.Epoch, func(p *Payload) {
+	g.view.UpdatePayload(w.From, w.Epoch, func(p *Payload) {
 		loads := slices.DeleteFunc(slices.Clone(p.State.Loads), func(l route.Load) bool { return l.Target == w.Placed.Load.Target })
 		p.State.Loads = append(loads, w.Placed.Load)
 	})
@@ -348,8 +348,8 @@
 }
 
 // LiveWithAge returns the same entries, each with its age here.
-func (g *Gossip) LiveWithAge() []fleet.Heard[Payload] {
+func (g *Gossip) LiveWithAge() []fleet.AgedEntry[Payload] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.view.Heard(g.now())
+	return g.view.LiveWithAge(g.now())
 }
--- a/peer/gossip_test.go
+++ b/peer/gossip_test.go
@@ -76,7 +76,7 @@
 		g.Gossip = NewGossip(GossipConfig{
 			ID: name, Addr: seeds[i], Seeds: seeds, Timeout: time.Minute, Seed: uint64(i),
 			Payload:        func(time.Time) Payload { return Payload{Kind: KindRouter, State: g.state} },
-			OnConfigStatus: func(time.Time, fleet.PeerWord) {},
+			OnConfigStatus: func(time.Time, fleet.ConfigStatus) {},
 			NewestWeights:  func(time.Time) []route.NewestWord { return g.newest },
 			OnNewestWeights: func(begun time.Time, peer string, words []route.NewestWord) {
 				g.mu.Lock()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -28,7 +28,7 @@
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	half := Exchange{
-		From: "p", Stamp: event.Stamp{Time: time.Unix(5, 0).UTC(), N: 2}, Word: fleet.PeerWord{Revision: 3},
+		From: "p", Stamp: event.Stamp{Time: time.Unix(5, 0).UTC(), N: 2}, Word: fleet.ConfigStatus{Revision: 3},
 		Entries: []Entry{{ID: "p", Addr: addr, Payload: Payload{Kind: KindRouter, State: route.PeerState{
 			Leaving: []route.Mark{{Target: addr, Incarnation: "i"}},
 		}}}},
--- a/peer/peers.go
+++ b/peer/peers.go
@@ -33,7 +33,7 @@
 	// Zone is the failure domain the process stands in, Power how much work it can take beside others.
 	Zone  string
 	Power float64
-	Word  fleet.PeerWord
+	Word  fleet.ConfigStatus
 	State route.PeerState
 }
 
@@ -44,7 +44,7 @@
 type Exchange struct {
 	From  string
 	Stamp event.Stamp
-	Word  fleet.PeerWord
+	Word  fleet.ConfigStatus
 	// Newest is what the sender knows of the newest weights of models.
 	Newest  []route.NewestWord
 	Entries []Entry
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -14,9 +14,9 @@
 // RelayReport is what a process of a large fleet tells a relay.
 type RelayReport struct {
 	Stamp event.Stamp
-	Word  fleet.Word[route.PeerState]
+	Word  fleet.RosterMessage[route.PeerState]
 	// Config is the reporter's word on the configuration.
-	Config fleet.PeerWord
+	Config fleet.ConfigStatus
 	// Brief says that this is no report: the sender only asks who relays, or with Crashes
 	// only tells of these.
 	Brief bool
@@ -41,7 +41,7 @@
 // RelayAnswer is a relay's answer to a report.
 type RelayAnswer struct {
 	Stamp event.Stamp
-	Word  fleet.Word[route.PeerState]
+	Word  fleet.RosterMessage[route.PeerState]
 	// Whole says that the word speaks for everyone but the reporter.
 	Whole bool
 	// Digest names the word's members; they are left out where the reporter knows them.
@@ -52,7 +52,7 @@
 	Members     []route.Change[string, fleet.Member]
 	Changed     bool
 	MembersNext int64
-	Config      fleet.PeerWord
+	Config      fleet.ConfigStatus
 	// Newest is what the relay knows of the newest weights of models.
 	Newest  []route.NewestWord
 	News    *RelayUpdate
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -81,13 +81,13 @@
 	k.problems = append(k.problems, &Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// nameForm keeps names fit for label values, table keys and metric labels.
-var nameForm = regexp.MustCompile(`^[a-zA-Z0-9]([a-zA-Z0-9._-]{0,61}[a-zA-Z0-9])?$`)
+// namePattern keeps names fit for label values, table keys and metric labels.
+var namePattern = regexp.MustCompile(`^[a-zA-Z0-9]([a-zA-Z0-9._-]{0,61}[a-zA-Z0-9])?$`)
 
 // name checks the form of a name and that it is the first of its section.
 func (k *checker) name(path, name string, seen map[string]bool) {
 	switch {
-	case !nameForm.MatchString(name):
+	case !namePattern.MatchString(name):
 		k.add(path, "%q is not a name of 1 to 63 letters, digits, dots, dashes and underscores", name)
 	case seen[name]:
 		k.add(path, "%q stands twice", name)
@@ -209,8 +209,8 @@
 	}
 }
 
-// callForm is the form of an entry of notRepeatable.
-var callForm = regexp.MustCompile(`^(POST|PUT|PATCH|DELETE|GET) /\S*$`)
+// callPattern is the form of an entry of notRepeatable.
+var callPattern = regexp.MustCompile(`^(POST|PUT|PATCH|DELETE|GET) /\S*$`)
 
 // reservedPath is where callers reach the models; no route may hide it.
 const reservedPath = "/v1/"
@@ -236,10 +236,10 @@
 			k.add(path+".path", "%q stands twice", r.Path)
 		}
 		paths[[2]string{r.Host, r.Path}] = true
-		k.between(path+".timeout", time.Duration(r.Timeout), maxTimeout)
+		k.checkRange(path+".timeout", time.Duration(r.Timeout), maxTimeout)
 		for j, call := range r.NotRepeatable {
 			at := fmt.Sprintf("%s.notRepeatable[%d]", path, j)
-			if !callForm.MatchString(call) {
+			if !callPattern.MatchString(call) {
 				k.add(at, "%q must be a method and a path, as in \"POST /seat\"", call)
 			} else if _, p, _ := strings.Cut(call, " "); !strings.HasPrefix(p, r.Path) {
 				k.add(at, "%q is not under the route's path %q", p, r.Path)
@@ -264,9 +264,9 @@
 	if p.RecomputeWeight < 0 {
 		k.add("placement.recomputeWeight", "must not be negative")
 	}
-	k.between("placement.horizon", time.Duration(p.Horizon), maxTimeout)
-	k.between("requests.timeout", time.Duration(r.Timeout), maxTimeout)
-	k.between("requests.queueTimeout", time.Duration(r.QueueTimeout), maxTimeout)
+	k.checkRange("placement.horizon", time.Duration(p.Horizon), maxTimeout)
+	k.checkRange("requests.timeout", time.Duration(r.Timeout), maxTimeout)
+	k.checkRange("requests.queueTimeout", time.Duration(r.QueueTimeout), maxTimeout)
 	if r.MaxBody < 0 || r.MaxBody > maxBodyBound {
 		k.add("requests.maxBody", "must be from 1B to %dB", maxBodyBound)
 	}
@@ -278,7 +278,7 @@
 	}
 }
 
-func (k *checker) between(path string, d, most time.Duration) {
+func (k *checker) checkRange(path string, d, most time.Duration) {
 	if d <= 0 || d > most {
 		k.add(path, "is %s, must be more than 0 and at most %s", d, most)
 	}
--- a/router/config.go
+++ b/router/config.go
@@ -165,7 +165,7 @@
 func (r *Router) storeState(err error) {
 	r.Lock()
 	defer r.Unlock()
-	was := r.adoption.Word(time.Now()).TableDown
+	was := r.adoption.Status(time.Now()).TableDown
 	switch {
 	case err != nil && !was:
 		r.events.Record(event.Event{Code: event.StoreDown, Detail: err.Error()})
--- a/router/engine.go
+++ b/router/engine.go
@@ -21,7 +21,7 @@
 	r      *Router
 	visit  *visit
 	comp   dispatch.Completion
-	asked  dispatch.Asked
+	asked  dispatch.CompletionParams
 	req    route.Request
 	answer dispatch.Answer
 	// text is the answer delivered so far and tokens the number of chunks it came in.
@@ -43,10 +43,10 @@
 	req.Text = asked.Text
 	req.Bounds = asked.Bounds
 	req.MaxTokens = asked.MaxTokens
-	req.Resumable = asked.Plain
+	req.Resumable = asked.SingleText
 	done := &completion{r: r, visit: v, comp: comp, asked: asked, req: req, answer: comp.Answer(v.w, c.ID)}
 	send := done.stream
-	if !asked.Stream && !asked.Plain {
+	if !asked.Stream && !asked.SingleText {
 		send = done.whole
 	}
 	refusal := r.Serve(v.r.Context(), req, c, send)
@@ -58,7 +58,7 @@
 // or the outcome that ended the attempt.
 func (c *completion) open(ctx context.Context, a route.Attempt, stream bool) (*dispatch.Reply, *route.Outcome) {
 	out := &route.Outcome{Request: a.Request, Attempt: a.ID, Kind: route.OutcomeBroken}
-	sending := dispatch.Sending{Priority: c.req.Priority, Stream: stream}
+	sending := dispatch.SendOptions{Priority: c.req.Priority, Stream: stream}
 	if a.Resume {
 		sending.Resume, sending.Text, sending.Tokens = true, c.text.String(), c.tokens
 	}
@@ -87,7 +87,7 @@
 	by := route.Mark{Target: a.Target, Incarnation: cmp.Or(reply.Incarnation, a.Incarnation)}
 	r.Lock()
 	defer r.Unlock()
-	r.Board().Said(time.Now(), by, sent, reply.Said)
+	r.Board().Said(time.Now(), by, sent, reply.Reported)
 }
 
 // identityMatches checks what a target echoes before any of its answer is used.
--- a/router/peers.go
+++ b/router/peers.go
@@ -30,15 +30,15 @@
 		Kind:     peer.KindRouter,
 		Draining: r.draining.Load(),
 		Door:     r.set.Operators,
-		Word:     r.adoption.Word(now),
+		Word:     r.adoption.Status(now),
 		State:    r.Board().State(now),
 	}
 }
 
 // heard takes a peer's word on configuration.
-func (r *Router) heard(begun time.Time, w fleet.PeerWord) {
+func (r *Router) heard(begun time.Time, w fleet.ConfigStatus) {
 	r.Lock()
-	r.adoption.Peer(begun, w)
+	r.adoption.ObservePeer(begun, w)
 	behind := r.adoption.Behind()
 	r.Unlock()
 	if behind {
--- a/router/router.go
+++ b/router/router.go
@@ -202,8 +202,8 @@
 	)
 	r.Driver = dispatch.New(board,
 		dispatch.WithExport(func(e route.Export) { r.loops.Go(func() { r.export(e) }) }),
-		dispatch.WithArriving(func() { r.applyServing() }),
-		dispatch.WithEnded(func(k route.OutcomeKind) { r.counters.attempt(k) }),
+		dispatch.WithArrivalHook(func() { r.applyServing() }),
+		dispatch.WithAttemptEndHook(func(k route.OutcomeKind) { r.counters.attempt(k) }),
 	)
 	r.adoption = fleet.NewAdoption(s.Validity, r.seedRouters == 0)
 	r.gossip = peer.NewGossip(peer.GossipConfig{
--- a/router/service.go
+++ b/router/service.go
@@ -80,7 +80,7 @@
 	r := s.visit.r
 	sent := time.Now()
 	reply, err := s.r.protocol.Call(ctx, a, dispatch.ServiceCall{
-		Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header, Body: s.body, Once: s.once,
+		Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header, Body: s.body, AtMostOnce: s.once,
 	})
 	if err != nil {
 		return unanswered(out, err)
--- a/wire/openai.go
+++ b/wire/openai.go
@@ -18,7 +18,7 @@
 // Completion is a caller's request to a model, checked as far as the router needs.
 // It implements [dispatch.Completion].
 type Completion struct {
-	dispatch.Asked
+	dispatch.CompletionParams
 	Chat      bool
 	WantUsage bool
 
@@ -27,7 +27,7 @@
 }
 
 // Ask implements [dispatch.Completion].
-func (c *Completion) Ask() dispatch.Asked { return c.Asked }
+func (c *Completion) Ask() dispatch.CompletionParams { return c.CompletionParams }
 
 // field is one member of the caller's object, as it came.
 type field struct {
@@ -51,7 +51,7 @@
 	if !gjson.ValidBytes(data) || !body.IsObject() {
 		return nil, errs.Errorf("the body is not a JSON object")
 	}
-	c := &Completion{Chat: chat, Asked: dispatch.Asked{Plain: true}}
+	c := &Completion{Chat: chat, CompletionParams: dispatch.CompletionParams{SingleText: true}}
 	var err error
 	body.ForEach(func(name, value gjson.Result) bool {
 		err = c.add(name.String(), value)
@@ -118,7 +118,7 @@
 	if c.MaxTokens < 0 || n < 1 {
 		return errs.Errorf("max_tokens and n must not be negative")
 	}
-	c.Plain = n == 1 && !c.hasAny(structured)
+	c.SingleText = n == 1 && !c.hasAny(structured)
 	return nil
 }
 
@@ -191,7 +191,7 @@
 }
 
 // Body writes the request for an engine: the caller's fields as they came, and the router's.
-func (c *Completion) Body(salt string, s dispatch.Sending) ([]byte, error) {
+func (c *Completion) Body(salt string, s dispatch.SendOptions) ([]byte, error) {
 	extra := struct {
 		CacheSalt     string          `json:"cache_salt"`
 		Priority      int             `json:"priority"`
--- a/wire/protocol.go
+++ b/wire/protocol.go
@@ -68,7 +68,7 @@
 }
 
 // Send implements [dispatch.Completion].
-func (c *Completion) Send(ctx context.Context, a route.Attempt, s dispatch.Sending) (*dispatch.Reply, error) {
+func (c *Completion) Send(ctx context.Context, a route.Attempt, s dispatch.SendOptions) (*dispatch.Reply, error) {
 	body, err := c.Body(a.Salt, s)
 	if err != nil {
 		return nil, transport.ErrUnsent.Wrap(err)
@@ -98,7 +98,7 @@
 		}
 	}
 	return send(ctx, o.targets, transport.Request{
-		Target: a.Target, Method: c.Method, URI: c.Path, Host: a.Target.String(), Header: h, Body: c.Body, Fresh: c.Once,
+		Target: a.Target, Method: c.Method, URI: c.Path, Host: a.Target.String(), Header: h, Body: c.Body, Fresh: c.AtMostOnce,
 	})
 }
 
@@ -114,7 +114,7 @@
 		Weights:     resp.Header.Get(HeaderWeights),
 		Attempt:     resp.Header.Get(HeaderAttempt),
 		NotRun:      resp.Header.Get(HeaderRan) == RanNo,
-		Said:        refusalHints(resp.Status, resp.Header),
+		Reported:    refusalHints(resp.Status, resp.Header),
 		ContentType: resp.Header.Get("Content-Type"),
 		Body:        resp.Body,
 		Chunks:      NewEventReader(resp.Body).Next,
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -37,7 +37,7 @@
 				require.Equal(t, "system\x1ea\x1fuser\x1ebc\x1f", string(c.Text))
 				require.Equal(t, []int{9, 17}, c.Bounds)
 				require.Equal(t, 5, c.MaxTokens)
-				require.True(t, c.Plain)
+				require.True(t, c.SingleText)
 			},
 		},
 		"content in parts": {
@@ -47,7 +47,7 @@
 		"completion": {body: `{"model":"m","prompt":"x"}`, check: func(t *testing.T, c *Completion) { require.Equal(t, "x", string(c.Text)) }},
 		"tools are not one text": {
 			chat: true, body: `{"model":"m","tools":[],"messages":[{"role":"user","content":"x"}]}`,
-			check: func(t *testing.T, c *Completion) { require.False(t, c.Plain) },
+			check: func(t *testing.T, c *Completion) { require.False(t, c.SingleText) },
 		},
 		"longer name of the bound": {
 			chat: true, body: `{"model":"m","max_completion_tokens":9,"messages":[{"role":"user","content":"x"}]}`,
@@ -83,7 +83,7 @@
 func TestCompletionBody(t *testing.T) {
 	c, err := ParseCompletion([]byte(`{"model":"m","prompt":"x","temperature":0.5,"stream":false,"user":"<&>"}`), false)
 	require.NoError(t, err)
-	body, err := c.Body("s", dispatch.Sending{Priority: 3, Stream: true, Resume: true, Text: "t", Tokens: 2})
+	body, err := c.Body("s", dispatch.SendOptions{Priority: 3, Stream: true, Resume: true, Text: "t", Tokens: 2})
 	require.NoError(t, err)
 	var got map[string]any
 	require.NoError(t, json.Unmarshal(body, &got))
@@ -103,7 +103,7 @@
 		if err != nil {
 			return
 		}
-		body, err := c.Body("s", dispatch.Sending{Stream: true})
+		body, err := c.Body("s", dispatch.SendOptions{Stream: true})
 		require.NoError(t, err)
 		require.True(t, json.Valid(body), "%s", body)
 	})
@@ -210,7 +210,7 @@
 	targets := NewOpenAI()
 	defer targets.Close()
 	a := route.Attempt{Target: addrOf(server)}
-	call := dispatch.ServiceCall{Method: "POST", Path: "/", Header: http.Header{"Idempotency-Key": {"k"}}, Once: true}
+	call := dispatch.ServiceCall{Method: "POST", Path: "/", Header: http.Header{"Idempotency-Key": {"k"}}, AtMostOnce: true}
 	resp, err := targets.Call(t.Context(), a, call)
 	require.NoError(t, err)
 	_, err = io.ReadAll(resp.Body)
