--- a/controller/controller.go
+++ b/controller/controller.go
@@ -263,7 +263,7 @@
 }
 
 // poolRound keeps the lease and, while it is held, the pool.
-func (c *Controller) poolRound(ctx context.Context, snap *policy.Snapshot, p *policy.CompiledPool, list []route.Seen) {
+func (c *Controller) poolRound(ctx context.Context, snap *policy.Snapshot, p *policy.CompiledPool, list []route.ListedTarget) {
 	w := c.work(p.Name)
 	c.keepLease(ctx, p.Name, w)
 	if !w.lease.Holds(time.Now()) {
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -106,7 +106,7 @@
 const pollWidth = 16
 
 // see polls the pool's engines.
-func (c *Controller) see(ctx context.Context, p *policy.CompiledPool, list []route.Seen) []fleet.Engine {
+func (c *Controller) see(ctx context.Context, p *policy.CompiledPool, list []route.ListedTarget) []fleet.Engine {
 	var (
 		mu  sync.Mutex
 		wg  sync.WaitGroup
@@ -128,7 +128,7 @@
 			}
 			e.Name = seen.Labels["name"]
 			e.Leaving = e.Leaving || seen.Leaving
-			e.Busy = max(e.Busy, busy[route.Mark{Target: seen.Addr, Incarnation: e.Incarnation}])
+			e.Busy = max(e.Busy, busy[route.TargetKey{Target: seen.Addr, Incarnation: e.Incarnation}])
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, e)
@@ -139,8 +139,8 @@
 }
 
 // routersWord sums what the routers say they have in flight at each engine.
-func (c *Controller) routersWord() map[route.Mark]int {
-	out := make(map[route.Mark]int)
+func (c *Controller) routersWord() map[route.TargetKey]int {
+	out := make(map[route.TargetKey]int)
 	for _, e := range c.gossip.Live() {
 		for _, l := range e.Payload.State.Loads {
 			out[l.Target] += l.InFlight
@@ -149,10 +149,10 @@
 	return out
 }
 
-func marksOf(changes []fleet.Change) []route.Mark {
-	out := make([]route.Mark, 0, len(changes))
+func marksOf(changes []fleet.Change) []route.TargetKey {
+	out := make([]route.TargetKey, 0, len(changes))
 	for _, ch := range changes {
-		out = append(out, route.Mark{Target: ch.Engine, Incarnation: ch.Incarnation})
+		out = append(out, route.TargetKey{Target: ch.Engine, Incarnation: ch.Incarnation})
 	}
 	return out
 }
--- a/controller/ports.go
+++ b/controller/ports.go
@@ -18,7 +18,7 @@
 
 // List reads the VMs that stand on the platform's list.
 type List interface {
-	Read(ctx context.Context) ([]route.Seen, error)
+	Read(ctx context.Context) ([]route.ListedTarget, error)
 }
 
 // Engines is how engines are asked and ordered.
--- a/ctl/held_test.go
+++ b/ctl/held_test.go
@@ -20,10 +20,10 @@
 func heldDoor(t *testing.T, f route.Fingerprint) (netip.AddrPort, *dispatch.Driver) {
 	d := dispatch.New(route.NewBoard())
 	d.Do(func(b *route.Board, now time.Time) []route.Action {
-		var words []route.CrashWord
+		var words []route.CrashUpdate
 		for _, i := range []string{"i-1", "i-2", "i-3"} {
-			m := route.Mark{Target: netip.MustParseAddrPort("10.0.0.1:1"), Incarnation: route.Incarnation(i)}
-			words = append(words, route.CrashWord{CrashKey: route.CrashKey{Print: f, Target: m}})
+			m := route.TargetKey{Target: netip.MustParseAddrPort("10.0.0.1:1"), Incarnation: route.Incarnation(i)}
+			words = append(words, route.CrashUpdate{CrashKey: route.CrashKey{Print: f, Target: m}})
 		}
 		return b.TakeCrashes(now, words)
 	})
--- a/dispatch/held.go
+++ b/dispatch/held.go
@@ -43,14 +43,14 @@
 }
 
 // CrashesSince returns what the board knows of targets that ended under requests, beyond a version of it.
-func (d *Driver) CrashesSince(after int64) (words []route.CrashWord, version int64) {
+func (d *Driver) CrashesSince(after int64) (words []route.CrashUpdate, version int64) {
 	d.Lock()
 	defer d.Unlock()
 	return d.Board().CrashesSince(d.now(), after)
 }
 
 // TakeCrashes takes what another process knows of them.
-func (d *Driver) TakeCrashes(words []route.CrashWord) {
+func (d *Driver) TakeCrashes(words []route.CrashUpdate) {
 	d.Do(func(b *route.Board, now time.Time) []route.Action { return b.TakeCrashes(now, words) })
 }
 
--- a/dispatch/ports.go
+++ b/dispatch/ports.go
@@ -99,7 +99,7 @@
 	// NotRun says that the target did not run the request, by its own word.
 	NotRun bool
 	// Said is what the target says of itself.
-	Reported    route.Said
+	Reported    route.TargetHints
 	ContentType string
 	Body        io.ReadCloser
 	// Chunks reads the body as a stream of chunks; at its end without a finish
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// endUnder ends an engine that has begun to run such a request, and starts another in its place
+// recordCrash ends an engine that has begun to run such a request, and starts another in its place
 // unless a step that ends it does so.
 func (s *site) endUnder(sl *slot, r *platformtest.Replica) {
 	defer s.begin(Trouble{Scope: OfTarget, Kind: RequestDeadly, Subject: r.ID})()
--- a/node/callers.go
+++ b/node/callers.go
@@ -127,11 +127,11 @@
 	return true
 }
 
-// giveBack returns the charge of a request that goes nowhere.
+// refund returns the charge of a request that goes nowhere.
 func (n *Node) giveBack(v *visit) {
 	n.Lock()
 	defer n.Unlock()
-	n.Board().GiveBack(n.now(), v.charge)
+	n.Board().RefundCharge(n.now(), v.charge)
 }
 
 // lineBytes is what a line of a head has besides its name and value: a colon, a blank and its end.
--- a/node/crash.go
+++ b/node/crash.go
@@ -24,7 +24,7 @@
 		time.Sleep(endedPause)
 		n.Lock()
 		defer n.Unlock()
-		return n.Board().MayHaveEnded(target)
+		return n.Board().MayHaveCrashed(target)
 	})
 }
 
@@ -45,7 +45,7 @@
 
 // targetEnded tells the board that nothing listens at a target's address.
 func (n *Node) targetEnded(target netip.AddrPort) {
-	n.Do(func(b *route.Board, now time.Time) []route.Action { return b.TargetEnded(now, target) })
+	n.Do(func(b *route.Board, now time.Time) []route.Action { return b.TargetCrashed(now, target) })
 }
 
 // waker wakes a loop that looks for itself what there is to do.
@@ -81,7 +81,7 @@
 }
 
 // takeCrashes takes what another process knows of them.
-func (n *Node) takeCrashes(words []route.CrashWord) {
+func (n *Node) takeCrashes(words []route.CrashUpdate) {
 	n.TakeCrashes(words)
 	// What they tell may make a request one that is held back, whose last end was seen here.
 	n.recording.wake()
--- a/node/crash_record.go
+++ b/node/crash_record.go
@@ -35,7 +35,7 @@
 }
 
 // encodeHeld renders words on ends by the store's clock.
-func encodeHeld(c StoreClock, now time.Time, words []route.CrashWord) json.RawMessage {
+func encodeHeld(c StoreClock, now time.Time, words []route.CrashUpdate) json.RawMessage {
 	out := make([]recordedEnd, 0, len(words))
 	for _, w := range words {
 		_, at := c.ToStore(now.Add(-w.Age))
@@ -51,19 +51,19 @@
 }
 
 // decodeHeld returns what was recorded, as words of now.
-func decodeHeld(c StoreClock, now time.Time, data []byte) ([]route.CrashWord, error) {
+func decodeHeld(c StoreClock, now time.Time, data []byte) ([]route.CrashUpdate, error) {
 	var record []recordedEnd
 	if err := json.Unmarshal(data, &record); err != nil {
 		return nil, errs.Errorf("the record of requests held back: %w", err)
 	}
-	out := make([]route.CrashWord, 0, len(record))
+	out := make([]route.CrashUpdate, 0, len(record))
 	for _, r := range record {
 		if !r.Print.Known() || !r.Target.IsValid() {
 			return nil, errs.Errorf("the record of requests held back: an entry without request or target")
 		}
 		_, at := c.ToHere(time.Duration(r.AtMS) * time.Millisecond)
-		out = append(out, route.CrashWord{
-			CrashKey: route.CrashKey{Print: r.Print, Target: route.Mark{Target: r.Target, Incarnation: route.Incarnation(r.Incarnation)}},
+		out = append(out, route.CrashUpdate{
+			CrashKey: route.CrashKey{Print: r.Print, Target: route.TargetKey{Target: r.Target, Incarnation: route.Incarnation(r.Incarnation)}},
 			Age:      max(0, now.Sub(at)), Begun: r.Begun,
 		})
 	}
@@ -115,7 +115,7 @@
 // the record while the others do not reach this node.
 func (n *Node) recordLoop(ctx context.Context) {
 	var (
-		recorded []route.CrashWord
+		recorded []route.CrashUpdate
 		owed     bool
 		era      int64
 	)
@@ -139,7 +139,7 @@
 			recorded, era = nil, now
 		}
 		n.Lock()
-		words, own := n.Board().HeldWords(n.now(), mostHeldRecorded)
+		words, own := n.Board().HeldCrashes(n.now(), mostHeldRecorded)
 		n.Unlock()
 		if owed = own && !has(recorded, words); !owed {
 			continue
@@ -154,7 +154,7 @@
 
 // writeHeld writes the record, unless it has all of the words, joined with what others recorded. It
 // fails where another wrote in between or the store is away, and is tried again then.
-func (n *Node) writeHeld(ctx context.Context, words []route.CrashWord) error {
+func (n *Node) writeHeld(ctx context.Context, words []route.CrashUpdate) error {
 	part, _ := n.duty.lease.Key()
 	row, ok, err := n.store.Get(ctx, part, heldRow)
 	if err != nil {
@@ -170,7 +170,7 @@
 			return nil
 		}
 		n.Lock()
-		words, _ = n.Board().HeldWords(n.now(), mostHeldRecorded)
+		words, _ = n.Board().HeldCrashes(n.now(), mostHeldRecorded)
 		n.Unlock()
 	}
 	_, err = n.store.Commit(ctx, rand.Text(), fleet.Write{Part: part, Sort: heldRow, Data: encodeHeld(clock, n.now(), words), If: row.Rev})
@@ -178,7 +178,7 @@
 }
 
 // has reports whether all words of a list are among others.
-func has(known, words []route.CrashWord) bool {
+func has(known, words []route.CrashUpdate) bool {
 	keys := make(map[route.CrashKey]bool, len(known))
 	for _, w := range known {
 		keys[w.CrashKey] = true
--- a/node/duty.go
+++ b/node/duty.go
@@ -45,10 +45,10 @@
 	mu     sync.Mutex
 	lease  *fleet.Lease
 	roll   *fleet.RollingUpdate
-	states map[route.Mark]TargetState
+	states map[route.TargetKey]TargetState
 	// looking are the targets that are being read.
-	looking map[route.Mark]bool
-	holds   []route.Mark
+	looking map[route.TargetKey]bool
+	holds   []route.TargetKey
 	loaded  []loadedWord
 	// workSince is when work was first seen that nobody has done.
 	workSince time.Time
@@ -60,7 +60,7 @@
 
 // loadedWord is a word on a target's weights and when it was first said.
 type loadedWord struct {
-	route.WeightsWord
+	route.WeightsUpdate
 	at time.Time
 }
 
@@ -71,8 +71,8 @@
 		// The next holder waits for longer than the bound between two holders' orders.
 		lease:   fleet.NewLease(leaseName, n.settings().Name+"@"+n.settings().Peers.Addr().String(), leaseTime, n.settings().Bounds.Lease+orderMargin),
 		roll:    fleet.NewRollingUpdate(n.rollSettings()),
-		states:  make(map[route.Mark]TargetState),
-		looking: make(map[route.Mark]bool),
+		states:  make(map[route.TargetKey]TargetState),
+		looking: make(map[route.TargetKey]bool),
 	}
 }
 
@@ -93,14 +93,14 @@
 }
 
 // told returns what peers are to hear of the duty.
-func (d *duty) told() ([]route.Mark, []route.WeightsWord) {
+func (d *duty) told() ([]route.TargetKey, []route.WeightsUpdate) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.n.now()
-	var words []route.WeightsWord
+	var words []route.WeightsUpdate
 	for _, w := range d.loaded {
 		if now.Sub(w.at) < loadedKept {
-			words = append(words, w.WeightsWord)
+			words = append(words, w.WeightsUpdate)
 		}
 	}
 	return d.holds, words
@@ -186,7 +186,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range list {
-		mark := route.Mark{Target: t.Seen.Addr, Incarnation: t.Report.Incarnation}
+		mark := route.TargetKey{Target: t.Seen.Addr, Incarnation: t.Report.Incarnation}
 		if t.Report.Leaving {
 			continue
 		}
--- a/node/fleet_said_test.go
+++ b/node/fleet_said_test.go
@@ -25,12 +25,12 @@
 }
 
 // says has one node hear of the first engine in an answer.
-func (f *simFleet) says(node int, s route.Said) {
+func (f *simFleet) says(node int, s route.TargetHints) {
 	n := f.nodes[node]
 	n.Lock()
 	defer n.Unlock()
-	m := route.Mark{Target: simEngineAddr(0), Incarnation: n.Board().IncarnationOf(simEngineAddr(0))}
-	n.Board().Said(n.now(), m, n.now(), s)
+	m := route.TargetKey{Target: simEngineAddr(0), Incarnation: n.Board().IncarnationOf(simEngineAddr(0))}
+	n.Board().ApplyHints(n.now(), m, n.now(), s)
 }
 
 // What one node heard in an answer of its target's limit or leaving all nodes know within the bound on
@@ -51,17 +51,17 @@
 					return func(v route.TargetView) bool { return v.Limit != nil && *v.Limit == rate }
 				}
 				require.Zero(t, f.knowing(func(v route.TargetView) bool { return v.Limit != nil }))
-				f.says(2, route.Said{Limit: route.SaidLimit{Named: true, PerSecond: 2.5}})
+				f.says(2, route.TargetHints{Limit: route.LimitHint{Named: true, PerSecond: 2.5}})
 				time.Sleep(bound)
 				require.Equal(t, site.nodes, f.knowing(limited(2.5)), "nodes that know the limit")
-				f.says(3, route.Said{Limit: route.SaidLimit{Named: true, PerSecond: 1}})
+				f.says(3, route.TargetHints{Limit: route.LimitHint{Named: true, PerSecond: 1}})
 				time.Sleep(bound)
 				require.Equal(t, site.nodes, f.knowing(limited(1)), "nodes that know the lowered limit")
-				f.says(4, route.Said{})
+				f.says(4, route.TargetHints{})
 				time.Sleep(bound)
 				require.Equal(t, site.nodes, f.knowing(func(v route.TargetView) bool { return v.Limit == nil }), "nodes that know that it ended")
 
-				f.says(5, route.Said{Leaving: true})
+				f.says(5, route.TargetHints{Leaving: true})
 				time.Sleep(bound)
 				require.Equal(t, site.nodes, f.knowing(func(v route.TargetView) bool { return v.Leaving }), "nodes that know that it leaves")
 			})
--- a/node/fleet_store_test.go
+++ b/node/fleet_store_test.go
@@ -25,7 +25,7 @@
 	mu    sync.Mutex
 	rows  map[[2]string]fleet.Row
 	calls map[string]int
-	// counter rises with each change; namedAt and declaredAt are its values at the last ones.
+	// counter rises with each change; limitSetAt and declaredAt are its values at the last ones.
 	counter, namedAt, declaredAt int64
 	// revision and text are the configuration.
 	revision int64
@@ -273,7 +273,7 @@
 	defer s.mu.Unlock()
 	for i := range s.engines {
 		out = append(out, &route.Entry{
-			Seen:     route.Seen{Addr: simEngineAddr(i), Labels: map[string]string{LabelPool: simPool, route.LabelZone: simZone(i)}},
+			Seen:     route.ListedTarget{Addr: simEngineAddr(i), Labels: map[string]string{LabelPool: simPool, route.LabelZone: simZone(i)}},
 			Report:   route.Report{Incarnation: route.Incarnation(fmt.Sprintf("i-%08x", i)), Weights: map[string]string{simModel: s.engine(simEngineAddr(i)).weights}, Slots: 24},
 			Revision: beat,
 		})
--- a/node/forward.go
+++ b/node/forward.go
@@ -231,7 +231,7 @@
 	defer resp.Body.Close()
 	meaning, incarnation := f.n.protocol.Read(resp.Status, resp.Header)
 	said := f.n.protocol.Said(resp.Status, resp.Header)
-	by := route.Mark{Target: a.Target, Incarnation: a.Incarnation}
+	by := route.TargetKey{Target: a.Target, Incarnation: a.Incarnation}
 	if meaning == MeaningOther {
 		by.Incarnation = incarnation
 	}
@@ -241,8 +241,8 @@
 		_, err := transport.ReadAll(resp.Body, maxRefusal)
 		out.Kind, out.Incarnation = route.OutcomeRefused, incarnation
 		out.Detail = http.StatusText(resp.Status)
-		if said.Rest > 0 {
-			out.Detail += fmt.Sprintf(", the target asks for %s of rest", said.Rest)
+		if said.Backoff > 0 {
+			out.Detail += fmt.Sprintf(", the target asks for %s of rest", said.Backoff)
 		}
 		if err != nil {
 			out.Detail += ", cut short: " + err.Error()
@@ -257,14 +257,14 @@
 
 // takeSaid takes what an answer to an attempt sent at a time says of the target that gave it, before any of it
 // is passed on.
-func (f *forwarding) takeSaid(by route.Mark, sent time.Time, said route.Said) {
+func (f *forwarding) takeSaid(by route.TargetKey, sent time.Time, said route.TargetHints) {
 	if by.Incarnation == "" {
 		// Another target answered, which does not say who it is.
 		return
 	}
 	f.n.Lock()
 	defer f.n.Unlock()
-	f.n.Board().Said(f.n.now(), by, sent, said)
+	f.n.Board().ApplyHints(f.n.now(), by, sent, said)
 }
 
 // maxRefusal bounds the body of a target's refusal, in bytes.
--- a/node/holders.go
+++ b/node/holders.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if !n.off.Has(route.RecentWords) && !n.ofLargePool(p.Load.Target.Target) {
-		n.relays.tellRecent(ctx, route.Recent{Target: p.Load.Target.Number(), Prefill: p.Prefill})
+		n.relays.tellRecent(ctx, route.SentRequest{Target: p.Load.Target.Hash(), Prefill: p.Prefill})
 	}
 	home, ok := n.relays.home(p.Home)
 	if ok && len(p.Fills) > 0 && !n.off.Has(route.HolderHomes) {
--- a/node/list.go
+++ b/node/list.go
@@ -266,14 +266,14 @@
 	n.list.merge(n.now(), at, read, relayed)
 	n.relays.told(at, read.Targets)
 	n.Do(func(b *route.Board, now time.Time) []route.Action {
-		list := n.list.forBoard(b.Uses)
-		all := make([]route.Seen, 0, len(list))
+		list := n.list.forBoard(b.HasTarget)
+		all := make([]route.ListedTarget, 0, len(list))
 		for _, t := range list {
 			seen := t.Seen
 			seen.Incarnation = t.Report.Incarnation
 			all = append(all, seen)
 		}
-		out := b.Targets(now, all)
+		out := b.SetTargets(now, all)
 		for _, t := range n.list.alive(list) {
 			out = append(out, b.Report(now, t.Seen.Addr, t.Report)...)
 		}
--- a/node/list_reserve.go
+++ b/node/list_reserve.go
@@ -143,4 +143,4 @@
 	return out
 }
 
-var _ route.Reserve = (*targetList)(nil)
+var _ route.TargetIndex = (*targetList)(nil)
--- a/node/list_test.go
+++ b/node/list_test.go
@@ -13,7 +13,7 @@
 
 func listed(addr, incarnation string, revision int64) route.Entry {
 	return route.Entry{
-		Seen:     route.Seen{Addr: netip.MustParseAddrPort(addr)},
+		Seen:     route.ListedTarget{Addr: netip.MustParseAddrPort(addr)},
 		Report:   route.Report{Incarnation: route.Incarnation(incarnation)},
 		Revision: revision,
 	}
--- a/node/newest.go
+++ b/node/newest.go
@@ -63,7 +63,7 @@
 		switch {
 		case !changed:
 			out = append(out, route.NewestAt(from, by, model, weights))
-		case !name.notBefore.IsZero() && route.OlderWeights(weights, name.Weights) && route.Following(weights, name.Weights):
+		case !name.notBefore.IsZero() && route.OlderWeights(weights, name.Weights) && route.ConsecutiveWeights(weights, name.Weights):
 			// None can have been named between the two.
 			out = append(out, route.NewestAt(name.notBefore, by, model, weights))
 		}
@@ -117,7 +117,7 @@
 	var newer []route.NewestSpan
 	n.Do(func(b *route.Board, now time.Time) []route.Action {
 		for _, s := range spans {
-			if b.Newest(now, s) {
+			if b.AddNewestSpan(now, s) {
 				newer = append(newer, s)
 			}
 		}
@@ -133,20 +133,20 @@
 }
 
 // newestWords returns what the node tells others of the newest weights of models.
-func (n *Node) newestWords(now time.Time) []route.NewestWord {
+func (n *Node) newestWords(now time.Time) []route.NewestUpdate {
 	n.Lock()
 	defer n.Unlock()
 	spans := n.Board().NewestSpans()
-	out := make([]route.NewestWord, 0, len(spans))
+	out := make([]route.NewestUpdate, 0, len(spans))
 	for _, s := range spans {
-		out = append(out, s.Word(now))
+		out = append(out, s.Update(now))
 	}
 	return out
 }
 
 // receivedNewest takes what a peer told in answer to a call from begun on; a zero begun
 // stands for a word that was not asked for.
-func (n *Node) heardNewest(begun time.Time, source string, words []route.NewestWord) {
+func (n *Node) heardNewest(begun time.Time, source string, words []route.NewestUpdate) {
 	heard := n.now()
 	spans := make([]route.NewestSpan, 0, len(words))
 	for _, w := range words {
--- a/node/node.go
+++ b/node/node.go
@@ -206,7 +206,7 @@
 		route.WithoutMechanisms(n.off),
 		route.WithPlaced(n.tellPlaced),
 		route.WithNumberedWeights(stalenessOf(s, n.now())),
-		route.WithReserve(&n.list),
+		route.WithTargetIndex(&n.list),
 		route.WithExposure(s.Bounds.Exposure),
 		route.WithCrashes(n.crashSettings, n.crashSeen.wake),
 	)
--- a/node/orders.go
+++ b/node/orders.go
@@ -29,10 +29,10 @@
 
 // setHolds takes the targets that get no new work and reports whether they changed.
 func (d *duty) setHolds(ts []fleet.UpdateTarget) bool {
-	marks := make([]route.Mark, 0, len(ts))
-	set := make(map[route.Mark]bool, len(ts))
+	marks := make([]route.TargetKey, 0, len(ts))
+	set := make(map[route.TargetKey]bool, len(ts))
 	for _, t := range ts {
-		m := route.Mark{Target: t.Addr, Incarnation: t.Incarnation}
+		m := route.TargetKey{Target: t.Addr, Incarnation: t.Incarnation}
 		marks = append(marks, m)
 		set[m] = true
 	}
@@ -48,7 +48,7 @@
 
 // order sends one order if the lease lasts for long enough.
 func (d *duty) order(ctx context.Context, o fleet.UpdateOrder) {
-	mark := route.Mark{Target: o.Target.Addr, Incarnation: o.Target.Incarnation}
+	mark := route.TargetKey{Target: o.Target.Addr, Incarnation: o.Target.Incarnation}
 	detail := fmt.Sprintf("%s %s in place of %s, after %d orders", o.Target.Model, o.Weights, o.Target.Weights, o.Target.Orders)
 	d.mu.Lock()
 	holds, fence := d.lease.HoldsFor(d.n.now(), orderMargin), d.lease.Fence()
@@ -83,7 +83,7 @@
 
 // look reads a target back and tells everyone of new weights.
 func (d *duty) look(ctx context.Context, t fleet.UpdateTarget) {
-	mark := route.Mark{Target: t.Addr, Incarnation: t.Incarnation}
+	mark := route.TargetKey{Target: t.Addr, Incarnation: t.Incarnation}
 	d.mu.Lock()
 	under := d.looking[mark]
 	d.looking[mark] = true
@@ -114,7 +114,7 @@
 	d.states[mark] = state
 	loaded := !state.Busy && route.OlderWeights(t.Weights, state.Weights[t.Model])
 	if loaded {
-		d.loaded = append(d.loaded, loadedWord{route.WeightsWord{Target: mark, Model: t.Model, Weights: state.Weights[t.Model]}, d.n.now()})
+		d.loaded = append(d.loaded, loadedWord{route.WeightsUpdate{Target: mark, Model: t.Model, Weights: state.Weights[t.Model]}, d.n.now()})
 		d.loaded = d.loaded[max(0, len(d.loaded)-maxLoadedTold):]
 	}
 	d.mu.Unlock()
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -41,7 +41,7 @@
 			n, err := New(validSettings(), newSimStore(1), nil, engines)
 			require.NoError(t, err)
 			target := fleet.UpdateTarget{Addr: simEngineAddr(0), Incarnation: route.NewIncarnation("i", listed), Model: simModel, Weights: "1"}
-			mark := route.Mark{Target: target.Addr, Incarnation: target.Incarnation}
+			mark := route.TargetKey{Target: target.Addr, Incarnation: target.Incarnation}
 			n.duty.states[mark] = TargetState{Orders: 1}
 			n.duty.look(t.Context(), target)
 			state, known := n.duty.states[mark]
--- a/node/peers.go
+++ b/node/peers.go
@@ -91,8 +91,8 @@
 	_, large := n.relays.size()
 	nodes := n.fleetSize()
 	states := make(map[string]route.PeerState)
-	held := make(map[route.Mark]bool)
-	var loaded []route.WeightsWord
+	held := make(map[route.TargetKey]bool)
+	var loaded []route.WeightsUpdate
 	for _, e := range n.gossip.LiveWithAge() {
 		n.domains.note(e.Addr, e.Payload.Zone)
 		if !large {
@@ -115,10 +115,10 @@
 		}
 		var out []route.Action
 		for _, w := range append(loaded, own...) {
-			out = append(out, b.Loaded(now, w)...)
+			out = append(out, b.WeightsLoaded(now, w)...)
 		}
-		b.Hold(held)
-		return append(out, b.Peers(now, states, nodes)...)
+		b.SetHeldTargets(held)
+		return append(out, b.MergePeers(now, states, nodes)...)
 	})
 }
 
--- a/node/ports.go
+++ b/node/ports.go
@@ -64,7 +64,7 @@
 	// Read says what the head of a target's answer means, and which incarnation gave it where that is told.
 	Read(status int, h http.Header) (m Meaning, incarnation route.Incarnation)
 	// Said returns what the head of a target's answer says of the target.
-	Said(status int, h http.Header) route.Said
+	Said(status int, h http.Header) route.TargetHints
 	// Refuse writes a refusal to a caller.
 	Refuse(w http.ResponseWriter, f route.Refusal)
 	// Fault tells a caller that its request is wrong in itself.
@@ -183,7 +183,7 @@
 
 // Order asks one incarnation of a target to load weights.
 type Order struct {
-	Target  route.Mark
+	Target  route.TargetKey
 	Model   string
 	Weights string
 	// Orders is the number of orders that the incarnation must have taken.
--- a/node/recent.go
+++ b/node/recent.go
@@ -20,7 +20,7 @@
 // outbox are the requests that a relay has yet to tell of.
 type outbox struct {
 	// own are to go to everyone, relayed to this relay's own reporters alone.
-	own, relayed []route.Recent
+	own, relayed []route.SentRequest
 	// ready wakes the loop that tells them.
 	ready chan struct{}
 }
@@ -41,15 +41,15 @@
 }
 
 // take empties the outbox.
-func (o *outbox) take() (own, relayed []route.Recent) {
+func (o *outbox) take() (own, relayed []route.SentRequest) {
 	own, relayed = o.own, o.relayed
 	o.own, o.relayed = nil, nil
 	return own, relayed
 }
 
 // tellRecent tells of a request of this node's own.
-func (r *relays) tellRecent(ctx context.Context, s route.Recent) {
-	word := peer.RecentNotice{Recent: []route.Recent{s}}
+func (r *relays) tellRecent(ctx context.Context, s route.SentRequest) {
+	word := peer.RecentNotice{Recent: []route.SentRequest{s}}
 	r.mu.Lock()
 	acting := r.acting
 	if acting {
@@ -72,7 +72,7 @@
 const maxEchoes = 256
 
 // expectEcho notes a request of this node's own; the caller holds the lock.
-func (r *relays) expectEcho(s route.Recent) {
+func (r *relays) expectEcho(s route.SentRequest) {
 	if len(r.echoes) >= maxEchoes {
 		clear(r.echoes)
 	}
@@ -84,19 +84,19 @@
 	others := n.relays.heardRecent(w)
 	n.Lock()
 	defer n.Unlock()
-	n.Board().Recently(n.now(), others)
+	n.Board().AddPeerSends(n.now(), others)
 }
 
 // heardRecent notes what a relay has to tell others, and returns the requests that
 // are not this node's own.
-func (r *relays) heardRecent(w peer.RecentNotice) []route.Recent {
+func (r *relays) heardRecent(w peer.RecentNotice) []route.SentRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.acting {
 		r.outbox.add(w)
 		return w.Recent
 	}
-	var others []route.Recent
+	var others []route.SentRequest
 	for _, s := range w.Recent {
 		switch r.echoes[s] {
 		case 0:
--- a/node/recent_test.go
+++ b/node/recent_test.go
@@ -18,7 +18,7 @@
 	return &relays{
 		n:      &Node{now: clock.Steady},
 		roster: fleet.NewRoster[route.PeerState](time.Now(), self, time.Minute),
-		outbox: newOutbox(), echoes: make(map[route.Recent]int),
+		outbox: newOutbox(), echoes: make(map[route.SentRequest]int),
 	}
 }
 
@@ -26,10 +26,10 @@
 // relays tell it of them, and counts those of others that look the same.
 func TestRecentEchoes(t *testing.T) {
 	r := testRelays("a")
-	own, other := route.Recent{Target: 1, Prefill: 900}, route.Recent{Target: 2, Prefill: 900}
+	own, other := route.SentRequest{Target: 1, Prefill: 900}, route.SentRequest{Target: 2, Prefill: 900}
 	r.echoes[own] = 1
-	require.Equal(t, []route.Recent{other}, r.heardRecent(peer.RecentNotice{Recent: []route.Recent{own, other}}))
-	require.Equal(t, []route.Recent{own}, r.heardRecent(peer.RecentNotice{Recent: []route.Recent{own}}))
+	require.Equal(t, []route.SentRequest{other}, r.heardRecent(peer.RecentNotice{Recent: []route.SentRequest{own, other}}))
+	require.Equal(t, []route.SentRequest{own}, r.heardRecent(peer.RecentNotice{Recent: []route.SentRequest{own}}))
 	require.Empty(t, r.echoes)
 }
 
@@ -43,12 +43,12 @@
 	now := time.Now()
 	r.roster.HandleReport(now, fleet.RosterMessage[route.PeerState]{From: reporter})
 	r.roster.HandleAnswer(now, fleet.RosterMessage[route.PeerState]{From: relay, Relay: true}, false)
-	mine, theirs := route.Recent{Target: 1, Prefill: 900}, route.Recent{Target: 2, Prefill: 800}
-	r.heardRecent(peer.RecentNotice{Recent: []route.Recent{mine}})
-	r.heardRecent(peer.RecentNotice{Recent: []route.Recent{theirs}, Relayed: true})
+	mine, theirs := route.SentRequest{Target: 1, Prefill: 900}, route.SentRequest{Target: 2, Prefill: 800}
+	r.heardRecent(peer.RecentNotice{Recent: []route.SentRequest{mine}})
+	r.heardRecent(peer.RecentNotice{Recent: []route.SentRequest{theirs}, Relayed: true})
 	got := r.batches()
-	require.Equal(t, []route.Recent{mine}, got[relay.Addr].Recent)
-	require.ElementsMatch(t, []route.Recent{mine, theirs}, got[reporter.Addr].Recent)
+	require.Equal(t, []route.SentRequest{mine}, got[relay.Addr].Recent)
+	require.ElementsMatch(t, []route.SentRequest{mine, theirs}, got[reporter.Addr].Recent)
 	for _, w := range got {
 		require.True(t, w.Relayed)
 	}
--- a/node/relay.go
+++ b/node/relay.go
@@ -68,7 +68,7 @@
 	from   followed
 	outbox outbox
 	// echoes counts the requests of this node's own that relays will tell it of too.
-	echoes map[route.Recent]int
+	echoes map[route.SentRequest]int
 	// sharedTold is how far each relay was told of the parts that prompts share.
 	sharedTold map[string]sharedCursor
 	// noted is this node's part as it was logged last.
@@ -85,7 +85,7 @@
 		entries: route.NewFeed[netip.AddrPort](sameEntry),
 		members: route.NewFeed[string](func(a, b fleet.Member) bool { return a == b }),
 		outbox:  newOutbox(),
-		echoes:  make(map[route.Recent]int),
+		echoes:  make(map[route.SentRequest]int),
 
 		sharedTold: make(map[string]sharedCursor),
 		beats:      route.NewFeed[netip.AddrPort](func(a, b int64) bool { return a == b }),
@@ -187,7 +187,7 @@
 func (r *relays) others() route.PeerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return route.Join(r.roster.OtherStates(r.n.now(), ""))
+	return route.JoinStates(r.roster.OtherStates(r.n.now(), ""))
 }
 
 // note logs a change of this node's part.
--- a/node/relay_answer.go
+++ b/node/relay_answer.go
@@ -116,7 +116,7 @@
 	if out.Whole {
 		r.changeMembers(now, in, &out)
 	}
-	out.Word.State = route.Join(append(answer.States, own))
+	out.Word.State = route.JoinStates(append(answer.States, own))
 	if out.Whole {
 		out.Word.State.Hot = route.Hottest(out.Word.State.Hot)
 	} else {
--- a/node/relay_report.go
+++ b/node/relay_report.go
@@ -67,7 +67,7 @@
 	out := peer.RelayReport{Stamp: r.n.events.Clock().Now(), Config: word}
 	var states []route.PeerState
 	out.Word, states = r.roster.Report(now)
-	out.Word.State = route.Join(append(states, own))
+	out.Word.State = route.JoinStates(append(states, own))
 	out.Word.State.Hot = route.TopRates(out.Word.State.Hot)
 	if was := r.acting; out.Word.Relay != was {
 		r.acting = out.Word.Relay
--- a/node/relay_report_test.go
+++ b/node/relay_report_test.go
@@ -17,7 +17,7 @@
 func relayNews(epoch int64, full bool, targets ...string) peer.RelayAnswer {
 	news := &peer.RelayUpdate{Cursor: peer.RelayCursor{Epoch: epoch, Entries: 9, Beats: 9}, EntriesFull: full, BeatsFull: full}
 	for _, addr := range targets {
-		e := route.Entry{Seen: route.Seen{Addr: netip.MustParseAddrPort(addr)}}
+		e := route.Entry{Seen: route.ListedTarget{Addr: netip.MustParseAddrPort(addr)}}
 		news.Entries = append(news.Entries, route.Change[netip.AddrPort, *route.Entry]{Key: e.Seen.Addr, Value: &e})
 	}
 	return peer.RelayAnswer{News: news}
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -49,7 +49,7 @@
 	list := make([]*route.Entry, 0, s.targets)
 	for i := range s.targets {
 		list = append(list, &route.Entry{
-			Seen:     route.Seen{Addr: simEngineAddr(i), Labels: map[string]string{LabelPool: simPool, route.LabelZone: simZone(i)}},
+			Seen:     route.ListedTarget{Addr: simEngineAddr(i), Labels: map[string]string{LabelPool: simPool, route.LabelZone: simZone(i)}},
 			Report:   route.Report{Incarnation: route.Incarnation(fmt.Sprintf("i-%08x@1786000000000", i)), Weights: map[string]string{simModel: "1"}, Slots: 24},
 			Revision: s.beats,
 		})
@@ -78,8 +78,8 @@
 		}
 		for k := range others {
 			addr := simEngineAddr((s.asked*others + k) % s.targets)
-			mark := route.Mark{Target: addr, Incarnation: route.Incarnation(fmt.Sprintf("i-%08x@1786000000000", (s.asked*others+k)%s.targets))}
-			b.Recently(s.now, []route.Recent{{Target: mark.Number(), Prefill: 3000}})
+			mark := route.TargetKey{Target: addr, Incarnation: route.Incarnation(fmt.Sprintf("i-%08x@1786000000000", (s.asked*others+k)%s.targets))}
+			b.AddPeerSends(s.now, []route.SentRequest{{Target: mark.Hash(), Prefill: 3000}})
 		}
 		b.Tick(s.now)
 		s.Unlock()
@@ -117,7 +117,7 @@
 	t.Logf("%d bytes after a minute, %d after ten, %d for each target", first, last, int(last)/n.targets)
 	used := 0
 	for i := range n.targets {
-		if n.Board().Uses(simEngineAddr(i)) {
+		if n.Board().HasTarget(simEngineAddr(i)) {
 			used++
 		}
 	}
@@ -136,7 +136,7 @@
 	n.ask(20, 0)
 	var used []netip.AddrPort
 	for i := range n.targets {
-		if addr := simEngineAddr(i); n.Board().Uses(addr) {
+		if addr := simEngineAddr(i); n.Board().HasTarget(addr) {
 			used = append(used, addr)
 		}
 	}
@@ -151,16 +151,16 @@
 		}
 	}
 	n.takeEntries(n.now.Add(time.Millisecond), Listing{Targets: left}, false)
-	require.False(t, n.Board().Uses(gone))
+	require.False(t, n.Board().HasTarget(gone))
 
 	holder := left[len(left)-1]
 	for _, e := range left {
-		if !n.Board().Uses(e.Seen.Addr) {
+		if !n.Board().HasTarget(e.Seen.Addr) {
 			holder = e
 		}
 	}
-	n.Board().MergeFills(n.now, []route.Fill{{Target: route.Mark{Target: holder.Seen.Addr, Incarnation: holder.Report.Incarnation}, Block: 7}})
-	require.True(t, n.Board().Uses(holder.Seen.Addr))
+	n.Board().MergeFills(n.now, []route.Fill{{Target: route.TargetKey{Target: holder.Seen.Addr, Incarnation: holder.Report.Incarnation}, Block: 7}})
+	require.True(t, n.Board().HasTarget(holder.Seen.Addr))
 }
 
 // The list of a pool of thousands is read from the store by one relay, and taken by all others over
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -15,7 +15,7 @@
 	// Known is how much the sender has of what the receiver knows.
 	Known CrashCursor
 	// Words are what the sender knows beyond what it told the receiver before, Cursor how much that is then.
-	Words  []route.CrashWord
+	Words  []route.CrashUpdate
 	Cursor CrashCursor
 }
 
@@ -30,8 +30,8 @@
 // once, however often they speak, and again after that one was started anew.
 type CrashGossip struct {
 	epoch int64
-	since func(after int64) (words []route.CrashWord, version int64)
-	merge func(words []route.CrashWord)
+	since func(after int64) (words []route.CrashUpdate, version int64)
+	merge func(words []route.CrashUpdate)
 
 	mu    sync.Mutex
 	peers map[netip.AddrPort]crashPeerState
@@ -45,7 +45,7 @@
 
 // NewCrashGossip returns the side of a process that knows what since returns, beyond a version of
 // it, and hears what others know by take.
-func NewCrashGossip(since func(after int64) ([]route.CrashWord, int64), take func([]route.CrashWord)) *CrashGossip {
+func NewCrashGossip(since func(after int64) ([]route.CrashUpdate, int64), take func([]route.CrashUpdate)) *CrashGossip {
 	return &CrashGossip{epoch: int64(rand.Uint32N(math.MaxUint32)) + 1, since: since, merge: take, peers: make(map[netip.AddrPort]crashPeerState)}
 }
 
--- a/peer/crashes_test.go
+++ b/peer/crashes_test.go
@@ -13,15 +13,15 @@
 // crashNode is a process's side with what it knows.
 type crashNode struct {
 	*CrashGossip
-	words  []route.CrashWord
+	words  []route.CrashUpdate
 	merged int
 }
 
 func newCrashNode(epoch int64) *crashNode {
 	s := new(crashNode)
 	s.CrashGossip = NewCrashGossip(
-		func(after int64) ([]route.CrashWord, int64) { return s.words[after:], int64(len(s.words)) },
-		func(words []route.CrashWord) {
+		func(after int64) ([]route.CrashUpdate, int64) { return s.words[after:], int64(len(s.words)) },
+		func(words []route.CrashUpdate) {
 			for _, w := range words {
 				if !slices.Contains(s.words, w) {
 					s.merged++
@@ -50,8 +50,8 @@
 // process that was started anew or may not have heard it.
 func TestCrashGossip(t *testing.T) {
 	addr := netip.MustParseAddrPort("10.0.0.1:1")
-	word := func(n byte) route.CrashWord {
-		return route.CrashWord{CrashKey: route.CrashKey{Print: route.Fingerprint{n}}}
+	word := func(n byte) route.CrashUpdate {
+		return route.CrashUpdate{CrashKey: route.CrashKey{Print: route.Fingerprint{n}}}
 	}
 	a, b := newCrashNode(1), newCrashNode(2)
 	sent, answered := a.exchange(addr, b)
@@ -92,13 +92,13 @@
 
 	var none *CrashGossip
 	require.Nil(t, none.NewRequest(addr))
-	require.Nil(t, none.HandleRequest(&CrashMessage{Words: []route.CrashWord{word(9)}}))
+	require.Nil(t, none.HandleRequest(&CrashMessage{Words: []route.CrashUpdate{word(9)}}))
 }
 
 // Processes that do not answer any more are forgotten once there are too many.
 func TestCrashGossipBounded(t *testing.T) {
 	a := newCrashNode(1)
-	a.words = append(a.words, route.CrashWord{CrashKey: route.CrashKey{Print: route.Fingerprint{1}}})
+	a.words = append(a.words, route.CrashUpdate{CrashKey: route.CrashKey{Print: route.Fingerprint{1}}})
 	for i := range 2 * maxCrashPeers {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)
 		a.exchange(addr, newCrashNode(int64(2+i)))
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -39,9 +39,9 @@
 	rec            *event.Recorder
 	payload        func(now time.Time) Payload
 	onConfigStatus func(begun time.Time, w fleet.ConfigStatus)
-	newestWeights  func(now time.Time) []route.NewestWord
+	newestWeights  func(now time.Time) []route.NewestUpdate
 	// receivedNewest takes what a peer told of the newest weights.
-	onNewestWeights func(begun time.Time, peer string, words []route.NewestWord)
+	onNewestWeights func(begun time.Time, peer string, words []route.NewestUpdate)
 	relays          func() []fleet.Member
 	ownEntryOnly    bool
 	onRelays        func([]fleet.Member)
@@ -71,8 +71,8 @@
 	OnConfigStatus func(begun time.Time, w fleet.ConfigStatus)
 	// Newest returns what the process knows of the newest weights of models, and
 	// OnNewestWeights takes what a peer told, as Heard does. Both may be nil.
-	NewestWeights   func(now time.Time) []route.NewestWord
-	OnNewestWeights func(begun time.Time, peer string, words []route.NewestWord)
+	NewestWeights   func(now time.Time) []route.NewestUpdate
+	OnNewestWeights func(begun time.Time, peer string, words []route.NewestUpdate)
 	// Alone says that messages have no entries of others.
 	OwnEntryOnly bool
 	// Relays returns the relays of the fleet, where it is large, and OnRelays
@@ -90,8 +90,8 @@
 		cfg.OnRelays = func([]fleet.Member) {}
 	}
 	if cfg.NewestWeights == nil {
-		cfg.NewestWeights = func(time.Time) []route.NewestWord { return nil }
-		cfg.OnNewestWeights = func(time.Time, string, []route.NewestWord) {}
+		cfg.NewestWeights = func(time.Time) []route.NewestUpdate { return nil }
+		cfg.OnNewestWeights = func(time.Time, string, []route.NewestUpdate) {}
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Steady
--- a/peer/gossip_test.go
+++ b/peer/gossip_test.go
@@ -22,7 +22,7 @@
 	// state is what the process says of its requests.
 	state route.PeerState
 	// newest is what it knows of the newest weights, heard what it was told of them.
-	newest   []route.NewestWord
+	newest   []route.NewestUpdate
 	received []receivedNewest
 
 	mu      sync.Mutex
@@ -33,7 +33,7 @@
 type receivedNewest struct {
 	initiated bool
 	peer      string
-	words     []route.NewestWord
+	words     []route.NewestUpdate
 }
 
 // Exchange implements [Handler].
@@ -77,8 +77,8 @@
 			ID: name, Addr: seeds[i], Seeds: seeds, Timeout: time.Minute, Seed: uint64(i),
 			Payload:        func(time.Time) Payload { return Payload{Kind: KindRouter, State: g.state} },
 			OnConfigStatus: func(time.Time, fleet.ConfigStatus) {},
-			NewestWeights:  func(time.Time) []route.NewestWord { return g.newest },
-			OnNewestWeights: func(begun time.Time, peer string, words []route.NewestWord) {
+			NewestWeights:  func(time.Time) []route.NewestUpdate { return g.newest },
+			OnNewestWeights: func(begun time.Time, peer string, words []route.NewestUpdate) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				g.received = append(g.received, receivedNewest{initiated: !begun.IsZero(), peer: peer, words: words})
@@ -134,7 +134,7 @@
 func TestGossipPlacedNotice(t *testing.T) {
 	g := startGossipNodes(t, "a", "b")
 	a, b := g[0], g[1]
-	x, y := route.Mark{Incarnation: "x"}, route.Mark{Incarnation: "y"}
+	x, y := route.TargetKey{Incarnation: "x"}, route.TargetKey{Incarnation: "y"}
 	a.state = route.PeerState{Loads: []route.Load{{Target: x, InFlight: 1}, {Target: y, InFlight: 2}}}
 	a.exchangeWith(t.Context(), b)
 	a.BroadcastPlaced(t.Context(), route.PlacementReport{Load: route.Load{Target: x, InFlight: 2, Prefill: 9000}})
@@ -149,8 +149,8 @@
 func TestGossipNewestWeights(t *testing.T) {
 	g := startGossipNodes(t, "a", "b")
 	a, b := g[0], g[1]
-	a.newest = []route.NewestWord{{Model: "m", Weights: "2", FirstAge: time.Second, LastAge: -1}}
-	b.newest = []route.NewestWord{{Model: "m", Weights: "1", FirstAge: time.Minute, LastAge: time.Second}}
+	a.newest = []route.NewestUpdate{{Model: "m", Weights: "2", FirstAge: time.Second, LastAge: -1}}
+	b.newest = []route.NewestUpdate{{Model: "m", Weights: "1", FirstAge: time.Minute, LastAge: time.Second}}
 	a.exchangeWith(t.Context(), b)
 	require.Equal(t, []receivedNewest{{initiated: true, peer: "b", words: b.newest}}, a.received)
 	require.Equal(t, []receivedNewest{{peer: "a", words: a.newest}}, b.received)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -30,7 +30,7 @@
 	half := Exchange{
 		From: "p", Stamp: event.Stamp{Time: time.Unix(5, 0).UTC(), N: 2}, Word: fleet.ConfigStatus{Revision: 3},
 		Entries: []Entry{{ID: "p", Addr: addr, Payload: Payload{Kind: KindRouter, State: route.PeerState{
-			Leaving: []route.Mark{{Target: addr, Incarnation: "i"}},
+			Leaving: []route.TargetKey{{Target: addr, Incarnation: "i"}},
 		}}}},
 	}
 	done := make(chan struct{})
--- a/peer/peers.go
+++ b/peer/peers.go
@@ -46,7 +46,7 @@
 	Stamp event.Stamp
 	Word  fleet.ConfigStatus
 	// Newest is what the sender knows of the newest weights of models.
-	Newest  []route.NewestWord
+	Newest  []route.NewestUpdate
 	Entries []Entry
 	// Fresh names the processes that the sender heard of lately, itself among them.
 	Fresh uint64
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -54,7 +54,7 @@
 	MembersNext int64
 	Config      fleet.ConfigStatus
 	// Newest is what the relay knows of the newest weights of models.
-	Newest  []route.NewestWord
+	Newest  []route.NewestUpdate
 	News    *RelayUpdate
 	Crashes *CrashMessage
 }
@@ -72,13 +72,13 @@
 	Paged     bool
 	Beats     []route.Change[netip.AddrPort, int64]
 	BeatsFull bool
-	Parts     route.PartsNews
+	Parts     route.PartsUpdate
 }
 
 // RecentNotice tells of requests that were placed just now. One that a relay passes on
 // is not passed on again to other relays.
 type RecentNotice struct {
-	Recent  []route.Recent
+	Recent  []route.SentRequest
 	Relayed bool
 }
 
--- a/route/arrive.go
+++ b/route/arrive.go
@@ -31,7 +31,7 @@
 			Code: event.RequestRefused, Request: r.ID, Org: r.Org,
 			Detail: refusal.Cause.String() + ", not-run: " + refusal.Detail,
 		})
-		b.GiveBack(now, r.Charge)
+		b.RefundCharge(now, r.Charge)
 		return []Action{Refuse{Request: r.ID, Refusal: *refusal}}
 	}
 	b.requests[r.ID] = r
@@ -66,7 +66,7 @@
 	if held := b.heldRefusal(now, r); held != nil {
 		return held
 	}
-	if rests := b.restRefusal(now, p, r); rests != nil {
+	if rests := b.backoffRefusal(now, p, r); rests != nil {
 		return rests
 	}
 	wait := p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now))
@@ -191,7 +191,7 @@
 			c.store.moves.level -= float64(c.fetchTokens - c.cachedTokens)
 		}
 		a.Save = b.chooseSaveStore(now, c, r)
-		b.countShared(now, r)
+		b.recordSharedParts(now, r)
 		b.recordExpectedFill(now, c)
 		b.beginFill(now, c, r, a)
 	}
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -28,7 +28,7 @@
 	b.learnRate(a.target, a.uncached, now.Sub(a.sent), a.fetched)
 	b.endFill(a)
 	a.target.prefill -= a.uncached
-	b.recovered(a.target)
+	b.recordRecovery(a.target)
 	if a.Salt != "" {
 		b.recordFills(now, r, a)
 		return append(b.offerExport(now, r, a), b.dispatch(now)...)
@@ -41,7 +41,7 @@
 	c := r.chain(a.Weights)
 	for i, n := range c.messageEnds {
 		if i < len(c.messageEnds)-1 && a.uncached > 0 {
-			b.fills = append(b.fills, Fill{Target: Mark{a.Target, a.Incarnation}, Block: c.blocks[n], at: now})
+			b.fills = append(b.fills, Fill{Target: TargetKey{a.Target, a.Incarnation}, Block: c.blocks[n], at: now})
 		}
 	}
 	b.trimFills(now)
@@ -88,21 +88,21 @@
 	if o.Kind == OutcomeDone {
 		a.target.answeredAt = now
 		if o.TargetError {
-			a.target.misses.add(now, 1)
+			a.target.failedSends.add(now, 1)
 		} else {
-			b.bore(now, r, a)
+			b.recordCompleted(now, r, a)
 		}
-		b.judgeRelease(now, r, a, o.TargetError)
+		b.recordReleaseResult(now, r, a, o.TargetError)
 		b.learnFromUsage(now, r, a, o.Usage)
-		b.refund(now, r, o.Usage)
+		b.refundUnusedTokens(now, r, o.Usage)
 		b.removeRequest(r)
 		b.emit(event.Event{Code: event.RequestAnswered, Request: r.ID, Attempt: a.ID, Org: r.Org, Target: a.target.name(), Detail: usageText(o.Usage)})
 		return append([]Action{Finish{Request: r.ID}}, b.dispatch(now)...)
 	}
 	if o.Kind == OutcomeBroken {
-		b.judgeRelease(now, r, a, true)
+		b.recordReleaseResult(now, r, a, true)
 	}
-	b.brokeOff(now, r, a, o)
+	b.recordBroken(now, r, a, o)
 	b.recordFailure(now, a, o)
 	r.verdict = max(r.verdict, b.verdictOf(r, o.Kind))
 	return append(b.retryOrRefuse(now, r, a, o), b.dispatch(now)...)
@@ -131,7 +131,7 @@
 
 // learnFromUsage corrects beliefs by the engine's own count of cached tokens.
 func (b *Board) learnFromUsage(now time.Time, r *request, a *attempt, u *Usage) {
-	b.recovered(a.target)
+	b.recordRecovery(a.target)
 	if u == nil || a.Salt == "" || a.Resume {
 		return
 	}
@@ -176,22 +176,22 @@
 	b.emit(event.Event{Code: code, Request: o.Request, Attempt: o.Attempt, Target: a.target.name(), Detail: detail})
 	if o.Incarnation != "" && !o.Incarnation.Same(a.target.incarnation) {
 		b.identify(now, a.target, o.Incarnation)
-		a.target.stranger = b.reused
+		a.target.unconfirmed = b.reused
 	}
 	if o.Kind == OutcomeRefused && o.Incarnation.Same(a.Incarnation) && a.Salt != "" {
-		b.misjudged(now, a)
+		b.handleWeightsMismatch(now, a)
 	}
 	if a.withdrawn {
 		return
 	}
-	a.target.misses.add(now, 1)
+	a.target.failedSends.add(now, 1)
 	if r, ok := b.requests[o.Request]; ok && a.Salt != "" {
 		b.prefixes.forget(r.chain(a.Weights), a.target.slot)
 	}
 	if o.Kind != OutcomeRefused && !a.cancelled && !o.TargetError {
-		b.failed(a.target)
+		b.recordTargetFailure(a.target)
 		if o.Silent {
-			b.suspect(now, a.target)
+			b.markSilent(now, a.target)
 		}
 	}
 }
@@ -283,13 +283,13 @@
 	if !ok {
 		return b.minRetryAfter
 	}
-	return max(b.minRetryAfter, b.restOver(now, p), p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now)))
+	return max(b.minRetryAfter, b.backoffRemaining(now, p), p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now)))
 }
 
 // refundUnrun gives back the charge of a request that ends without having run anywhere.
 func (b *Board) refundUnrun(now time.Time, r *request) {
 	if r.verdict == NotRun && r.attempt == nil && !r.delivered {
-		b.GiveBack(now, r.Charge)
+		b.RefundCharge(now, r.Charge)
 	}
 }
 
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -33,11 +33,11 @@
 	}
 	board := NewBoard(WithSeed(1))
 	board.Adopt(epoch, snap)
-	var seen []Seen
+	var seen []ListedTarget
 	for i := range targets {
-		seen = append(seen, Seen{Addr: testAddr(i), Labels: map[string]string{"s": "e"}})
+		seen = append(seen, ListedTarget{Addr: testAddr(i), Labels: map[string]string{"s": "e"}})
 	}
-	board.Targets(epoch, seen)
+	board.SetTargets(epoch, seen)
 	for i := range targets {
 		weights := make(map[string]string)
 		for m := range models {
@@ -133,6 +133,6 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		board.Peers(epoch, states, 390)
+		board.MergePeers(epoch, states, 390)
 	}
 }
--- a/route/board.go
+++ b/route/board.go
@@ -22,7 +22,7 @@
 	targets  map[netip.AddrPort]*target
 	slots    map[uint32]*target
 	lastSlot uint32
-	marks    map[Mark]bool
+	marks    map[TargetKey]bool
 	pools    map[string]*pool
 	orgs     map[string]*orgState
 	requests map[string]*request
@@ -69,17 +69,17 @@
 	pendingFills map[fillKey]pendingFill
 	// off are the mechanisms that an experiment switched off.
 	disabled Mechanisms
-	// restsTo is until when some target wants no requests.
-	restsTo time.Time
+	// backoffUntil is until when some target wants no requests.
+	backoffUntil time.Time
 	// unlisted are the words of targets that left the list, which hold if they are back.
-	unlisted map[netip.AddrPort]unlistedWords
+	unlisted map[netip.AddrPort]unlistedHints
 	// crashes are the targets that ended under requests.
-	crashes crashes
+	crashes crashTracker
 	// rollouts are the pools' newest roll-outs, exposure the share of requests that a release on trial gets.
 	rollouts map[string]*rollout
 	// reserve has the targets of large pools, holding the targets that are held back as told last.
-	reserve Reserve
-	holding map[Mark]bool
+	reserve TargetIndex
+	holding map[TargetKey]bool
 	// retiredAt is when targets were last looked through that nobody uses.
 	retiredAt time.Time
 	exposure  float64
@@ -184,7 +184,7 @@
 		onEvent:  func(event.Event) {},
 		targets:  make(map[netip.AddrPort]*target),
 		slots:    make(map[uint32]*target),
-		marks:    make(map[Mark]bool),
+		marks:    make(map[TargetKey]bool),
 		pools:    make(map[string]*pool),
 		orgs:     make(map[string]*orgState),
 		requests: make(map[string]*request),
@@ -204,12 +204,12 @@
 
 		minRetryAfter: defaultMinRetryAfter,
 		onPlaced:      func(PlacementReport) {},
-		crashes:       newCrashes(),
-		reserve:       noReserve{},
+		crashes:       newCrashTracker(),
+		reserve:       noTargetIndex{},
 		rollouts:      make(map[string]*rollout),
 		exposure:      defaultExposure * exposurePart,
 		pendingFills:  make(map[fillKey]pendingFill),
-		unlisted:      make(map[netip.AddrPort]unlistedWords),
+		unlisted:      make(map[netip.AddrPort]unlistedHints),
 	}
 	for _, opt := range opts {
 		opt(b)
@@ -321,14 +321,14 @@
 // Tick lets time pass: requests whose wait is over are refused, held-back retries go on.
 func (b *Board) Tick(now time.Time) []Action {
 	b.sweepCrashes(now)
-	b.retire(now)
+	b.unloadIdle(now)
 	var out []Action
 	for _, r := range b.requests {
 		switch {
 		case !now.Before(r.Deadline):
 			out = append(out, b.expire(now, r)...)
 		case r.attempt == nil && !now.Before(r.queueDeadline):
-			out = append(out, b.refuse(now, r, CauseOverload, b.pools[r.Pool].noRoom(now))...)
+			out = append(out, b.refuse(now, r, CauseOverload, b.pools[r.Pool].noTargetReason(now))...)
 		}
 	}
 	for _, t := range b.targets {
@@ -384,8 +384,8 @@
 			limit := t.limit.perSecond
 			v.Limit = &limit
 		}
-		if t.rests(now) {
-			v.Rests = t.restsTo.Sub(now)
+		if t.backingOff(now) {
+			v.Rests = t.backoffUntil.Sub(now)
 		}
 		for _, p := range t.pools {
 			v.Pools = append(v.Pools, p.compiled.Name)
--- a/route/board_test.go
+++ b/route/board_test.go
@@ -306,8 +306,8 @@
 func TestBoardLeavingMarkFromPeer(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{})
 	leaving := w.targets[0]
-	w.execute(w.board.Peers(w.now, map[string]PeerState{
-		"other": {Leaving: []Mark{{Target: leaving.addr, Incarnation: Incarnation(leaving.id())}}},
+	w.execute(w.board.MergePeers(w.now, map[string]PeerState{
+		"other": {Leaving: []TargetKey{{Target: leaving.addr, Incarnation: Incarnation(leaving.id())}}},
 	}, 2))
 	for range 4 {
 		w.request("b", "z", false, true)
@@ -316,7 +316,7 @@
 		require.NotEqual(t, leaving.addr, a.Target)
 	}
 	w.reportList()
-	require.Len(t, w.board.Marks(), 1, "the list that still shows it does not undo the mark")
+	require.Len(t, w.board.DrainingTargets(), 1, "the list that still shows it does not undo the mark")
 	require.True(t, w.hasEvent(event.TargetLeaving))
 }
 
--- a/route/come_back_test.go
+++ b/route/come_back_test.go
@@ -30,14 +30,14 @@
 	for name, after := range map[string]time.Duration{"at once": 0, "when told": first.RetryAfter, "much later": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			w.now = w.now.Add(after)
-			b := restarted(t, w)
+			b := restartedBoard(t, w)
 			require.Empty(t, ask(b, "r2"), "it waits for a target")
 			w.now = w.now.Add(20 * time.Millisecond)
 			next := refusal(b.Tick(w.now))
 			require.Equal(t, NotRun, next.Verdict)
 			require.Equal(t, defaultMinRetryAfter, next.RetryAfter, "no more than what waits there now")
 			f := w.targets[0]
-			b.Targets(w.now, seenOf(false, f))
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, f.report())
 			out := ask(b, "r3")
 			require.Len(t, out, 1)
--- a/route/crash_join_test.go
+++ b/route/crash_join_test.go
@@ -23,12 +23,12 @@
 			boards = append(boards, b)
 		}
 		print := func() Fingerprint { return Fingerprint{byte(rapid.IntRange(1, 3).Draw(t, "request"))} }
-		mark := func() Mark {
+		mark := func() TargetKey {
 			n := rapid.IntRange(0, 4).Draw(t, "target")
-			return Mark{testAddr(n), Incarnation(fmt.Sprint("i", n))}
+			return TargetKey{testAddr(n), Incarnation(fmt.Sprint("i", n))}
 		}
 		// A start of a target ends once, and whatever runs there breaks off at that moment.
-		endedAt := make(map[Mark]time.Time)
+		endedAt := make(map[TargetKey]time.Time)
 		tell := func(from, to *Board) {
 			words, _ := from.CrashesSince(now, 0)
 			to.TakeCrashes(now, words)
@@ -41,11 +41,11 @@
 				if _, ok := endedAt[m]; !ok {
 					endedAt[m] = now
 				}
-				b.endUnder(now, print(), m, end{at: endedAt[m], begun: rapid.Bool().Draw(t, "begun")})
+				b.recordCrash(now, print(), m, crash{at: endedAt[m], begun: rapid.Bool().Draw(t, "begun")})
 			case 2:
 				b.Release(now, print())
 			case 3:
-				b.TakeCrashes(now, []CrashWord{{CrashKey: CrashKey{Target: mark()}}})
+				b.TakeCrashes(now, []CrashUpdate{{CrashKey: CrashKey{Target: mark()}}})
 			case 4:
 				tell(b, boards[rapid.IntRange(0, processes-1).Draw(t, "hearer")])
 			}
--- a/route/crash_sim_test.go
+++ b/route/crash_sim_test.go
@@ -68,9 +68,9 @@
 	// lag is how long what a board sees takes to all others.
 	lag     time.Duration
 	cursors []int64
-	words   []simWords
-	looks   []simLook
-	again   []simAgain
+	words   []simUpdates
+	checks  []simCheck
+	retries []simRetry
 	listed  time.Time
 	snapRev int64
 	// alike is the text of all innocent requests, which are of a plain service; empty for texts of their own.
@@ -81,19 +81,19 @@
 	third      map[Fingerprint]time.Time
 }
 
-type simWords struct {
+type simUpdates struct {
 	at    time.Time
 	from  int
-	words []CrashWord
+	words []CrashUpdate
 }
 
-type simLook struct {
+type simCheck struct {
 	at     time.Time
 	board  int
 	target *crashTarget
 }
 
-type simAgain struct {
+type simRetry struct {
 	at     time.Time
 	client *simClient
 }
@@ -124,11 +124,11 @@
 func (f *crashFleet) list() {
 	f.listed = f.now
 	for i, b := range f.boards {
-		var seen []Seen
+		var seen []ListedTarget
 		for _, target := range f.targets {
-			seen = append(seen, Seen{Addr: target.fake.addr, Labels: map[string]string{"s": "s"}, Incarnation: Incarnation(target.fake.id())})
+			seen = append(seen, ListedTarget{Addr: target.fake.addr, Labels: map[string]string{"s": "s"}, Incarnation: Incarnation(target.fake.id())})
 		}
-		f.act(i, b.Targets(f.now, seen))
+		f.act(i, b.SetTargets(f.now, seen))
 		for _, target := range f.targets {
 			if target.up {
 				f.act(i, b.Report(f.now, target.fake.addr, target.fake.report()))
@@ -177,7 +177,7 @@
 		return
 	}
 	if c.tries < 2 && !c.guilty {
-		f.again = append(f.again, simAgain{f.now.Add(100 * time.Millisecond), c})
+		f.retries = append(f.retries, simRetry{f.now.Add(100 * time.Millisecond), c})
 	}
 }
 
@@ -188,7 +188,7 @@
 	out := Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeUnsent}
 	b := f.boards[board]
 	if !target.up {
-		f.act(board, b.TargetEnded(f.now, a.Target))
+		f.act(board, b.TargetCrashed(f.now, a.Target))
 		f.act(board, b.Ended(f.now, out))
 		return
 	}
@@ -233,7 +233,7 @@
 	}
 	for _, run := range runs {
 		f.broke(run)
-		f.looks = append(f.looks, simLook{f.now.Add(crashLook), run.board, target})
+		f.checks = append(f.checks, simCheck{f.now.Add(crashLook), run.board, target})
 	}
 }
 
@@ -249,17 +249,17 @@
 	for _, target := range f.targets {
 		f.runTarget(target)
 	}
-	f.spread()
-	for len(f.looks) > 0 && !f.looks[0].at.After(f.now) {
-		l := f.looks[0]
-		f.looks = f.looks[1:]
-		if b := f.boards[l.board]; b.MayHaveEnded(l.target.fake.addr) && !l.target.up {
-			f.act(l.board, b.TargetEnded(f.now, l.target.fake.addr))
+	f.gossip()
+	for len(f.checks) > 0 && !f.checks[0].at.After(f.now) {
+		l := f.checks[0]
+		f.checks = f.checks[1:]
+		if b := f.boards[l.board]; b.MayHaveCrashed(l.target.fake.addr) && !l.target.up {
+			f.act(l.board, b.TargetCrashed(f.now, l.target.fake.addr))
 		}
 	}
-	for len(f.again) > 0 && !f.again[0].at.After(f.now) {
-		c := f.again[0].client
-		f.again = f.again[1:]
+	for len(f.retries) > 0 && !f.retries[0].at.After(f.now) {
+		c := f.retries[0].client
+		f.retries = f.retries[1:]
 		f.send(c)
 	}
 	if f.now.Sub(f.listed) >= crashList {
@@ -309,12 +309,12 @@
 	}
 }
 
-// spread brings what boards know to all others after the lag.
-func (f *crashFleet) spread() {
+// gossip brings what boards know to all others after the lag.
+func (f *crashFleet) gossip() {
 	for i, b := range f.boards {
 		words, version := b.CrashesSince(f.now, f.cursors[i])
 		if version > f.cursors[i] && len(words) > 0 {
-			f.words = append(f.words, simWords{f.now.Add(f.lag), i, words})
+			f.words = append(f.words, simUpdates{f.now.Add(f.lag), i, words})
 		}
 		f.cursors[i] = version
 	}
@@ -457,7 +457,7 @@
 				for _, run := range append([]*simRun(nil), target.runs...) {
 					f.drop(target, run)
 					f.broke(run)
-					f.looks = append(f.looks, simLook{f.now.Add(crashLook), run.board, target})
+					f.checks = append(f.checks, simCheck{f.now.Add(crashLook), run.board, target})
 				}
 			}
 		},
--- a/route/crash_test.go
+++ b/route/crash_test.go
@@ -39,12 +39,12 @@
 // crash ends the target of an attempt, and starts it again.
 func (w *world) crash(a Attempt) {
 	w.execute(w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Closed: true}))
-	w.execute(w.board.TargetEnded(w.now, a.Target))
-	w.again(a.Target)
+	w.execute(w.board.TargetCrashed(w.now, a.Target))
+	w.restart(a.Target)
 }
 
-// again starts a target again.
-func (w *world) again(at interface{ String() string }) {
+// restart starts a target again.
+func (w *world) restart(at interface{ String() string }) {
 	for _, f := range w.targets {
 		if f.addr.String() == at.String() {
 			f.incarnation++
@@ -66,8 +66,8 @@
 	}
 }
 
-// held reports whether the request is held back, and what a copy of it is told.
-func (w *world) held(t *testing.T, f Fingerprint) (refusal Refusal, held bool) {
+// heldRefusal reports whether the request is held back, and what a copy of it is told.
+func (w *world) heldRefusal(t *testing.T, f Fingerprint) (refusal Refusal, held bool) {
 	w.nextID++
 	id := fmt.Sprint("h", w.nextID)
 	actions := w.board.Arrive(w.now, Request{
@@ -94,27 +94,27 @@
 	w := crashWorldOf(t, 3)
 	other := FingerprintOf("a", "POST", "h", "/", []byte("guilty"))
 	w.crashes(t, guiltyPrint, 2)
-	_, held := w.held(t, guiltyPrint)
+	_, held := w.heldRefusal(t, guiltyPrint)
 	require.False(t, held)
 	w.crashes(t, guiltyPrint, 1)
-	refusal, held := w.held(t, guiltyPrint)
+	refusal, held := w.heldRefusal(t, guiltyPrint)
 	require.True(t, held)
 	require.Equal(t, NotRun, refusal.Verdict)
 	require.InDelta(t, 2*time.Minute, refusal.RetryAfter, float64(time.Second))
 	require.True(t, w.hasEvent(event.RequestHeld))
-	_, held = w.held(t, other)
+	_, held = w.heldRefusal(t, other)
 	require.False(t, held, "the same text of another organisation")
 
 	w.now = w.now.Add(2 * time.Minute)
 	w.board.Tick(w.now)
-	_, held = w.held(t, guiltyPrint)
+	_, held = w.heldRefusal(t, guiltyPrint)
 	require.False(t, held)
 	require.True(t, w.hasEvent(event.RequestReleased))
 	w.crashes(t, guiltyPrint, 1)
-	refusal, held = w.held(t, guiltyPrint)
+	refusal, held = w.heldRefusal(t, guiltyPrint)
 	require.True(t, held)
 	require.InDelta(t, 4*time.Minute, refusal.RetryAfter, float64(time.Second))
-	w.now = w.now.Add(4*time.Minute + suspectFor)
+	w.now = w.now.Add(4*time.Minute + suspectTTL)
 	w.board.Tick(w.now)
 	require.Empty(t, w.board.HeldRequests(w.now), "long after, it is forgotten")
 }
@@ -125,7 +125,7 @@
 	w.crashes(t, guiltyPrint, 2)
 	last, sent := w.arrive(t, guiltyPrint)
 	require.True(t, sent)
-	w.board.Hold(map[Mark]bool{{last.Target, last.Incarnation}: true})
+	w.board.SetHeldTargets(map[TargetKey]bool{{last.Target, last.Incarnation}: true})
 	_, sent = w.arrive(t, guiltyPrint)
 	require.False(t, sent)
 	waiting := fmt.Sprint("c", w.nextID)
@@ -150,46 +150,46 @@
 		"a target ends": {func(w *world, a Attempt) { w.crash(a) }, true},
 		"a new start is listed": {func(w *world, a Attempt) {
 			w.board.Ended(w.now, broken(w, a))
-			w.again(a.Target)
+			w.restart(a.Target)
 		}, true},
 		"a new start was listed before the connection broke": {func(w *world, a Attempt) {
-			w.again(a.Target)
+			w.restart(a.Target)
 			w.board.Ended(w.now, broken(w, a))
 		}, true},
 		"a silent target starts again": {func(w *world, a Attempt) {
 			o := broken(w, a)
 			o.Closed, o.Silent = false, true
 			w.board.Ended(w.now, o)
-			w.again(a.Target)
+			w.restart(a.Target)
 		}, true},
 		"the connection breaks": {func(w *world, a Attempt) { w.board.Ended(w.now, broken(w, a)) }, false},
 		"the connection breaks, and the target ends later": {func(w *world, a Attempt) {
 			w.board.Ended(w.now, broken(w, a))
-			w.now = w.now.Add(brokenFor)
-			w.again(a.Target)
+			w.now = w.now.Add(crashConfirmWindow)
+			w.restart(a.Target)
 		}, false},
 		"the target answers an error": {func(w *world, a Attempt) {
 			o := broken(w, a)
 			o.Closed, o.TargetError = false, true
 			w.board.Ended(w.now, o)
-			w.again(a.Target)
+			w.restart(a.Target)
 		}, false},
 		"the target turns it away": {func(w *world, a Attempt) {
 			w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeRefused})
-			w.again(a.Target)
+			w.restart(a.Target)
 		}, false},
 		"nothing listens there": {func(w *world, a Attempt) {
 			w.board.Ended(w.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeUnsent})
-			w.board.TargetEnded(w.now, a.Target)
-			w.again(a.Target)
+			w.board.TargetCrashed(w.now, a.Target)
+			w.restart(a.Target)
 		}, false},
 		"the target was leaving": {func(w *world, a Attempt) {
-			w.board.Leaving(Mark{a.Target, a.Incarnation})
+			w.board.MarkDraining(TargetKey{a.Target, a.Incarnation})
 			w.crash(a)
 		}, false},
 		"the answer had been coming for a while": {func(w *world, a Attempt) {
 			w.board.FirstToken(w.now, a.Request, a.ID)
-			w.now = w.now.Add(bearsAfter)
+			w.now = w.now.Add(survivalTime)
 			w.crash(a)
 		}, false},
 	} {
@@ -204,20 +204,20 @@
 	t.Run("one end, seen by several", func(t *testing.T) {
 		w := crashWorldOf(t, 3)
 		for i, incarnation := range []Incarnation{"i", NewIncarnation("i", epoch), "i", NewIncarnation("i", epoch)} {
-			w.board.TakeCrashes(w.now, []CrashWord{{CrashKey: CrashKey{guiltyPrint, Mark{testAddr(9), incarnation}}, Age: time.Duration(i) * time.Millisecond}})
+			w.board.TakeCrashes(w.now, []CrashUpdate{{CrashKey: CrashKey{guiltyPrint, TargetKey{testAddr(9), incarnation}}, Age: time.Duration(i) * time.Millisecond}})
 		}
 		require.Len(t, w.board.HeldRequests(w.now)[0].Targets, 1)
 	})
 	t.Run("answers that had begun count half", func(t *testing.T) {
 		w := crashWorldOf(t, 3)
 		for n := range 6 {
-			_, held := w.held(t, guiltyPrint)
+			_, held := w.heldRefusal(t, guiltyPrint)
 			require.False(t, held, "after %d", n)
 			a, _ := w.arrive(t, guiltyPrint)
 			w.board.FirstToken(w.now, a.Request, a.ID)
 			w.crash(a)
 		}
-		_, held := w.held(t, guiltyPrint)
+		_, held := w.heldRefusal(t, guiltyPrint)
 		require.True(t, held)
 	})
 }
@@ -228,18 +228,18 @@
 	under, sent := w.arrive(t, guiltyPrint)
 	require.True(t, sent)
 	w.crashes(t, guiltyPrint, 3)
-	_, held := w.held(t, guiltyPrint)
+	_, held := w.heldRefusal(t, guiltyPrint)
 	require.True(t, held)
 	w.execute(w.board.Ended(w.now, Outcome{Request: under.Request, Attempt: under.ID, Kind: OutcomeDone}))
-	_, held = w.held(t, guiltyPrint)
+	_, held = w.heldRefusal(t, guiltyPrint)
 	require.False(t, held)
 	require.True(t, w.hasEvent(event.RequestReleased))
 
 	other := NewBoard()
 	other.Adopt(w.now, w.snap)
-	ends := func(from int) (out []CrashWord) {
+	ends := func(from int) (out []CrashUpdate) {
 		for n := range 3 {
-			out = append(out, CrashWord{CrashKey: CrashKey{guiltyPrint, Mark{testAddr(from + n), "i"}}, Age: time.Second})
+			out = append(out, CrashUpdate{CrashKey: CrashKey{guiltyPrint, TargetKey{testAddr(from + n), "i"}}, Age: time.Second})
 		}
 		return out
 	}
@@ -253,7 +253,7 @@
 	w.now = w.now.Add(5 * time.Second)
 	other.TakeCrashes(w.now, ends(30))
 	require.True(t, other.HeldRequests(w.now)[0].Held, "ends after that count anew")
-	other.TakeCrashes(w.now, []CrashWord{{CrashKey: CrashKey{Target: Mark{testAddr(31), "i"}}}})
+	other.TakeCrashes(w.now, []CrashUpdate{{CrashKey: CrashKey{Target: TargetKey{testAddr(31), "i"}}}})
 	require.False(t, other.HeldRequests(w.now)[0].Held, "one of the targets answered")
 }
 
@@ -268,7 +268,7 @@
 	require.Len(t, words, 1)
 	require.Equal(t, CrashKey{Print: guiltyPrint}, words[0].CrashKey, "others hear that it was answered")
 	w.crashes(t, guiltyPrint, 3)
-	_, held := w.held(t, guiltyPrint)
+	_, held := w.heldRefusal(t, guiltyPrint)
 	require.True(t, held)
 }
 
@@ -277,37 +277,37 @@
 func TestCrashBounds(t *testing.T) {
 	w := crashWorldOf(t, 3)
 	w.crashes(t, guiltyPrint, 3)
-	most := w.board.crashes.Kept
+	most := w.board.crashes.MaxRequests
 	for n := range 3 * most {
 		f := FingerprintOf("a", "POST", "h", "/", fmt.Append(nil, n))
-		w.board.TakeCrashes(w.now, []CrashWord{
-			{CrashKey: CrashKey{f, Mark{testAddr(n % 200), Incarnation(fmt.Sprint("i", n))}}},
-			{CrashKey: CrashKey{f, Mark{testAddr(n % 200), Incarnation(fmt.Sprint("j", n))}}},
-			{CrashKey: CrashKey{Target: Mark{testAddr(n), "k"}}},
+		w.board.TakeCrashes(w.now, []CrashUpdate{
+			{CrashKey: CrashKey{f, TargetKey{testAddr(n % 200), Incarnation(fmt.Sprint("i", n))}}},
+			{CrashKey: CrashKey{f, TargetKey{testAddr(n % 200), Incarnation(fmt.Sprint("j", n))}}},
+			{CrashKey: CrashKey{Target: TargetKey{testAddr(n), "k"}}},
 		})
 	}
-	_, held := w.held(t, guiltyPrint)
+	_, held := w.heldRefusal(t, guiltyPrint)
 	require.True(t, held, "after a herd of others")
-	for n := range 3 * mostEnds {
-		w.board.TakeCrashes(w.now, []CrashWord{{CrashKey: CrashKey{guiltyPrint, Mark{testAddr(n), "l"}}, Age: time.Second}})
+	for n := range 3 * maxCrashesPerRequest {
+		w.board.TakeCrashes(w.now, []CrashUpdate{{CrashKey: CrashKey{guiltyPrint, TargetKey{testAddr(n), "l"}}, Age: time.Second}})
 	}
-	_, held = w.held(t, guiltyPrint)
+	_, held = w.heldRefusal(t, guiltyPrint)
 	require.True(t, held)
 	w.now = w.now.Add(sweepEvery)
 	w.board.Tick(w.now)
 	seen := w.board.HeldRequests(w.now)
 	require.Len(t, seen, most)
-	require.Len(t, seen[0].Targets, mostEnds)
+	require.Len(t, seen[0].Targets, maxCrashesPerRequest)
 	words, _ := w.board.CrashesSince(w.now, 0)
-	require.LessOrEqual(t, len(words), factsFactor*most+mostEnds)
+	require.LessOrEqual(t, len(words), factsFactor*most+maxCrashesPerRequest)
 }
 
 // Words that can't be are passed over.
-func TestCrashWordsGarbled(t *testing.T) {
+func TestCrashUpdatesMalformed(t *testing.T) {
 	w := crashWorldOf(t, 1)
-	good := CrashKey{guiltyPrint, Mark{testAddr(1), "i"}}
-	long := CrashKey{guiltyPrint, Mark{testAddr(1), Incarnation(make([]byte, mostName+1))}}
-	w.board.TakeCrashes(w.now, []CrashWord{{CrashKey: good, Age: -1}, {CrashKey: good, Age: suspectFor}, {CrashKey: long}, {}})
+	good := CrashKey{guiltyPrint, TargetKey{testAddr(1), "i"}}
+	long := CrashKey{guiltyPrint, TargetKey{testAddr(1), Incarnation(make([]byte, maxIncarnationLen+1))}}
+	w.board.TakeCrashes(w.now, []CrashUpdate{{CrashKey: good, Age: -1}, {CrashKey: good, Age: suspectTTL}, {CrashKey: long}, {}})
 	require.Empty(t, w.board.HeldRequests(w.now))
 	words, _ := w.board.CrashesSince(w.now, 0)
 	require.Empty(t, words)
@@ -317,24 +317,24 @@
 func TestCrashReleased(t *testing.T) {
 	seen := 0
 	w := crashWorldOf(t, 3)
-	w.board.crashes.seen = func() { seen++ }
+	w.board.crashes.onChange = func() { seen++ }
 	w.crashes(t, guiltyPrint, 3)
 	before := seen
 	require.True(t, w.board.Release(w.now, guiltyPrint))
 	require.False(t, w.board.Release(w.now, guiltyPrint), "it is known no more")
-	_, held := w.held(t, guiltyPrint)
+	_, held := w.heldRefusal(t, guiltyPrint)
 	require.False(t, held)
 	require.Greater(t, seen, before)
 }
 
 // Targets that ended at one moment under a request are told in one order by all processes.
-func TestEndsOfOneMoment(t *testing.T) {
+func TestSimultaneousCrashes(t *testing.T) {
 	for range 20 {
-		s := suspect{ends: make(map[Mark]end)}
+		s := suspectRequest{crashes: make(map[TargetKey]crash)}
 		for i := range 6 {
-			s.ends[Mark{Target: testAddr(i / 2), Incarnation: Incarnation(string(rune('a' + i)))}] = end{at: epoch}
+			s.crashes[TargetKey{Target: testAddr(i / 2), Incarnation: Incarnation(string(rune('a' + i)))}] = crash{at: epoch}
 		}
-		marks := s.marks()
+		marks := s.crashedTargets()
 		for i := range 6 {
 			require.Equal(t, Incarnation(string(rune('a'+i))), marks[i].Incarnation)
 		}
--- a/route/crash_words.go
+++ b/route/crash_words.go
@@ -13,11 +13,11 @@
 // the request; without a target that the request was answered, and without a request that the target answered.
 type CrashKey struct {
 	Print  Fingerprint
-	Target Mark
+	Target TargetKey
 }
 
-// CrashWord is such a fact as one process tells another; Age is how long ago it was so.
-type CrashWord struct {
+// CrashUpdate is such a fact as one process tells another; Age is how long ago it was so.
+type CrashUpdate struct {
 	CrashKey
 	Age time.Duration
 	// Begun says of an end that a part of the answer had come.
@@ -25,63 +25,63 @@
 }
 
 const (
-	// wordGrain is by how much a later word on the same must be later to be told again.
-	wordGrain = time.Second
-	// mostName bounds the name of an incarnation that a peer tells, in bytes.
-	mostName = 256
+	// crashUpdateInterval is by how much a later word on the same must be later to be told again.
+	crashUpdateInterval = time.Second
+	// maxIncarnationLen bounds the name of an incarnation that a peer tells, in bytes.
+	maxIncarnationLen = 256
 	// factsFactor bounds the facts that are told, as a multiple of the requests remembered.
 	factsFactor = 4
 )
 
-// newCrashFacts returns the facts that are told, of which there are none.
-func newCrashFacts() *Feed[CrashKey, end] {
-	return NewFeed[CrashKey](func(old, e end) bool { return e.begun == old.begun && e.at.Sub(old.at) < wordGrain })
+// newCrashUpdates returns the facts that are told, of which there are none.
+func newCrashUpdates() *Feed[CrashKey, crash] {
+	return NewFeed[CrashKey](func(old, e crash) bool { return e.begun == old.begun && e.at.Sub(old.at) < crashUpdateInterval })
 }
 
 // sweepFacts drops the words that speak for requests and targets and are long ago, or all of
 // them where there are too many: what they were told for is settled by then.
-func (c *crashes) sweepFacts(now time.Time) {
-	keys := c.facts.Keys()
-	many := len(keys) > factsFactor*c.Kept
+func (c *crashTracker) sweepFacts(now time.Time) {
+	keys := c.updates.Keys()
+	many := len(keys) > factsFactor*c.MaxRequests
 	for _, k := range keys {
-		e, _ := c.facts.Get(k)
-		if isEnd := k.Print.Known() && k.Target != (Mark{}); !isEnd && (many || now.Sub(e.at) >= suspectFor) {
-			c.facts.Drop(k)
+		e, _ := c.updates.Get(k)
+		if isEnd := k.Print.Known() && k.Target != (TargetKey{}); !isEnd && (many || now.Sub(e.at) >= suspectTTL) {
+			c.updates.Drop(k)
 		}
 	}
 }
 
 // CrashesSince returns what is known of targets that ended under requests beyond a version of
 // it, and the version that this is.
-func (b *Board) CrashesSince(now time.Time, after int64) (words []CrashWord, version int64) {
-	changes, _ := b.crashes.facts.Since(after)
+func (b *Board) CrashesSince(now time.Time, after int64) (words []CrashUpdate, version int64) {
+	changes, _ := b.crashes.updates.Since(after)
 	for _, ch := range changes {
 		if !ch.Gone {
-			words = append(words, CrashWord{CrashKey: ch.Key, Age: now.Sub(ch.Value.at), Begun: ch.Value.begun})
+			words = append(words, CrashUpdate{CrashKey: ch.Key, Age: now.Sub(ch.Value.at), Begun: ch.Value.begun})
 		}
 	}
-	return words, b.crashes.facts.Version()
+	return words, b.crashes.updates.Version()
 }
 
 // TakeCrashes takes what another process knows of them.
-func (b *Board) TakeCrashes(now time.Time, words []CrashWord) []Action {
-	facts := b.crashes.facts
+func (b *Board) TakeCrashes(now time.Time, words []CrashUpdate) []Action {
+	facts := b.crashes.updates
 	for _, w := range words {
 		at := now.Add(-w.Age)
-		if w.Age < 0 || w.Age >= suspectFor || len(w.Target.Incarnation) > mostName {
+		if w.Age < 0 || w.Age >= suspectTTL || len(w.Target.Incarnation) > maxIncarnationLen {
 			continue
 		}
-		switch request, target := w.Print.Known(), w.Target != (Mark{}); {
+		switch request, target := w.Print.Known(), w.Target != (TargetKey{}); {
 		case request && target:
 			if !b.refuted(CrashKey{Print: w.Print}, at) && !b.refuted(CrashKey{Target: w.Target}, at) {
-				b.endUnder(now, w.Print, w.Target, end{at: at, begun: w.Begun})
+				b.recordCrash(now, w.Print, w.Target, crash{at: at, begun: w.Begun})
 			}
 		case request:
-			facts.Set(w.CrashKey, end{at: at})
-			b.cleared(now, w.Print, at)
+			facts.Set(w.CrashKey, crash{at: at})
+			b.clearRequest(now, w.Print, at)
 		case target:
-			facts.Set(w.CrashKey, end{at: at})
-			b.lives(now, w.Target, at)
+			facts.Set(w.CrashKey, crash{at: at})
+			b.clearTarget(now, w.Target, at)
 		}
 	}
 	return b.dispatch(now)
@@ -89,7 +89,7 @@
 
 // refuted reports whether a fact is known to hold at a time or after it.
 func (b *Board) refuted(k CrashKey, at time.Time) bool {
-	known, ok := b.crashes.facts.Get(k)
+	known, ok := b.crashes.updates.Get(k)
 	return ok && !at.After(known.at)
 }
 
@@ -111,7 +111,7 @@
 func (b *Board) HeldRequests(now time.Time) []HeldRequest {
 	out := make([]HeldRequest, 0, len(b.crashes.suspects))
 	for f, s := range b.crashes.suspects {
-		h := HeldRequest{Print: f, Org: s.org, Pool: s.pool, Targets: s.names(), Age: now.Sub(s.newest)}
+		h := HeldRequest{Print: f, Org: s.org, Pool: s.pool, Targets: s.crashedTargetNames(), Age: now.Sub(s.newest)}
 		if until, held := b.crashes.heldUntil(now, f); held {
 			h.Held, h.Left = true, until.Sub(now)
 		}
@@ -135,23 +135,23 @@
 	if b.crashes.suspects[f] == nil {
 		return false
 	}
-	b.cleared(now, f, now)
-	b.crashes.facts.Set(CrashKey{Print: f}, end{at: now})
-	b.crashes.seen()
+	b.clearRequest(now, f, now)
+	b.crashes.updates.Set(CrashKey{Print: f}, crash{at: now})
+	b.crashes.onChange()
 	return true
 }
 
-// HeldWords returns the ends under the requests that are held back, at most so many of them, those
+// HeldCrashes returns the ends under the requests that are held back, at most so many of them, those
 // that ended a target last first. Own reports whether this process saw the newest end under one of them.
-func (b *Board) HeldWords(now time.Time, most int) (words []CrashWord, own bool) {
+func (b *Board) HeldCrashes(now time.Time, most int) (words []CrashUpdate, own bool) {
 	c := &b.crashes
 	held := slices.DeleteFunc(slices.Collect(maps.Keys(c.suspects)), func(f Fingerprint) bool { return !c.holds(now, f) })
 	slices.SortFunc(held, func(a, b Fingerprint) int { return c.suspects[b].newest.Compare(c.suspects[a].newest) })
 	for _, f := range held[:min(most, len(held))] {
 		s := c.suspects[f]
 		own = own || s.own
-		for m, e := range s.ends {
-			words = append(words, CrashWord{CrashKey: CrashKey{Print: f, Target: m}, Age: now.Sub(e.at), Begun: e.begun})
+		for m, e := range s.crashes {
+			words = append(words, CrashUpdate{CrashKey: CrashKey{Print: f, Target: m}, Age: now.Sub(e.at), Begun: e.begun})
 		}
 	}
 	return words, own
--- a/route/health.go
+++ b/route/health.go
@@ -7,28 +7,28 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// missWindow is the time over which failures count against a target, and
-// missPrice what a target that fails every attempt costs.
+// failureWindow is the time over which failures count against a target, and
+// maxFailurePenalty what a target that fails every attempt costs.
 const (
-	missWindow = 4 * time.Second
-	missPrice  = 2 * time.Second
+	failureWindow     = 4 * time.Second
+	maxFailurePenalty = 2 * time.Second
 )
 
-// missCost is what the failures seen lately cost a placement here. One more send
+// failurePenalty is what the failures seen lately cost a placement here. One more send
 // than there were is counted, so that a single failure among few is no verdict.
-func (b *Board) missCost(now time.Time, t *target) time.Duration {
-	t.misses.decay(now)
-	if t.misses.value < 0.1 || b.disabled.Has(FailurePrice) {
+func (b *Board) failurePenalty(now time.Time, t *target) time.Duration {
+	t.failedSends.decay(now)
+	if t.failedSends.value < 0.1 || b.disabled.Has(FailurePrice) {
 		return 0
 	}
 	t.sends.decay(now)
-	return time.Duration(t.misses.value / (t.sends.value + 1) * float64(missPrice))
+	return time.Duration(t.failedSends.value / (t.sends.value + 1) * float64(maxFailurePenalty))
 }
 
-// suspect takes a target out at once that this router found silent.
-func (b *Board) suspect(now time.Time, t *target) {
+// markSilent takes a target out at once that this router found silent.
+func (b *Board) markSilent(now time.Time, t *target) {
 	t.silentAt = now
-	b.takeOut(now, t, "it gave no sign of life")
+	b.markFailing(now, t, "it gave no sign of life")
 }
 
 // Reached takes the news that a target's machine took a new connection: what was
@@ -40,12 +40,12 @@
 	}
 	t.silentAt = time.Time{}
 	t.answeredAt = now
-	b.recovered(t)
+	b.recordRecovery(t)
 	return b.dispatch(now)
 }
 
-// takeOut takes a target out that seems to be dark; its next sign of life brings it back.
-func (b *Board) takeOut(now time.Time, t *target, why string) {
+// markFailing takes a target out that seems to be dark; its next sign of life brings it back.
+func (b *Board) markFailing(now time.Time, t *target, why string) {
 	t.suspectedAt = now
 	t.failures = max(t.failures, failuresToFail)
 	if t.failing {
@@ -62,12 +62,12 @@
 	if !ok {
 		return nil
 	}
-	b.failed(t)
+	b.recordTargetFailure(t)
 	return b.cancelStalled(now, t)
 }
 
-// failed counts a failure; several in a row take the target out until a poll succeeds.
-func (b *Board) failed(t *target) {
+// recordTargetFailure counts a failure; several in a row take the target out until a poll succeeds.
+func (b *Board) recordTargetFailure(t *target) {
 	t.failures++
 	if t.failures < failuresToFail || t.failing {
 		return
@@ -77,7 +77,7 @@
 	b.emit(event.Event{Code: event.TargetFailing, Target: t.name()})
 }
 
-func (b *Board) recovered(t *target) {
+func (b *Board) recordRecovery(t *target) {
 	t.failures = 0
 	if !t.failing {
 		return
--- a/route/identity.go
+++ b/route/identity.go
@@ -7,12 +7,12 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// markListed takes the list's word on leaving, of the incarnation that it names or, where it
+// setListDraining takes the list's word on leaving, of the incarnation that it names or, where it
 // names none, of whichever runs now.
-func (b *Board) markListed(now time.Time, t *target, leaving bool) {
+func (b *Board) setListDraining(now time.Time, t *target, leaving bool) {
 	if leaving && !t.listLeaving {
 		t.markedAt = now
-		b.markLeaving(t, "vm list")
+		b.setDraining(t, "vm list")
 	}
 	t.listLeaving = leaving
 }
@@ -26,7 +26,7 @@
 		return
 	}
 	if incarnation.Same(t.incarnation) {
-		b.nameWhole(t, incarnation)
+		b.completeIncarnation(t, incarnation)
 		return
 	}
 	code := event.TargetRestarted
@@ -34,49 +34,49 @@
 	if t.incarnation == "" {
 		code = event.TargetSeen
 	} else {
-		b.startEnded(now, t.mark())
-		b.renew(now, t)
+		b.recordIncarnationCrash(now, t.key())
+		b.resetTarget(now, t)
 	}
 	b.version++
 	t.incarnation = incarnation
-	b.takeWordsUp(t)
-	t.guess = weightsGuess{}
+	b.restoreHints(t)
+	t.assumed = assumedWeights{}
 	t.leaving = false
 	if ambiguous {
-		b.markLeaving(t, "vm list")
+		b.setDraining(t, "vm list")
 	}
 	b.emit(event.Event{Code: code, Target: t.name(), Detail: "incarnation " + string(incarnation)})
-	if b.marks[Mark{t.addr, incarnation}] {
-		b.markLeaving(t, "a peer")
+	if b.marks[TargetKey{t.addr, incarnation}] {
+		b.setDraining(t, "a peer")
 	}
 }
 
-// nameWhole takes the time of a target's start that an earlier word of it did not tell.
-func (b *Board) nameWhole(t *target, incarnation Incarnation) {
+// completeIncarnation takes the time of a target's start that an earlier word of it did not tell.
+func (b *Board) completeIncarnation(t *target, incarnation Incarnation) {
 	if _, known := t.incarnation.Start(); known || incarnation == t.incarnation {
 		return
 	}
 	t.incarnation = incarnation
 	b.version++
 	if t.leaving {
-		b.marks[t.mark()] = true
+		b.marks[t.key()] = true
 	}
 }
 
-// renew drops what an earlier incarnation of a target taught: what it held, how it
+// resetTarget drops what an earlier incarnation of a target taught: what it held, how it
 // failed, how fast it read and answered, and what peers sent it. What this router still has
 // under way there ends with its connection.
-func (b *Board) renew(now time.Time, t *target) {
+func (b *Board) resetTarget(now time.Time, t *target) {
 	b.renewSlot(now, t)
 	b.dropParts(t)
-	t.sends, t.misses = newMeter(missWindow), newMeter(missWindow)
+	t.sends, t.failedSends = newMeter(failureWindow), newMeter(failureWindow)
 	t.learned, t.service = 0, defaultService
-	t.unreported = true
+	t.reportOutdated = true
 	t.unused = ""
 	t.limit = targetLimit{}
-	t.restsTo = time.Time{}
+	t.backoffUntil = time.Time{}
 	t.peerInFlight, t.peerPrefill, t.peerTokens = 0, 0, 0
-	t.recent = nil
+	t.peerSends = nil
 	t.suspectedAt, t.silentAt = time.Time{}, time.Time{}
 }
 
@@ -88,10 +88,10 @@
 	return ""
 }
 
-// markLeaving stops new work for the target's present incarnation; nothing undoes it.
-func (b *Board) markLeaving(t *target, source string) {
+// setDraining stops new work for the target's present incarnation; nothing undoes it.
+func (b *Board) setDraining(t *target, source string) {
 	if t.incarnation != "" {
-		b.marks[t.mark()] = true
+		b.marks[t.key()] = true
 	}
 	if t.leaving {
 		return
@@ -101,34 +101,34 @@
 	b.emit(event.Event{Code: event.TargetLeaving, Target: t.name(), Detail: "says " + source})
 }
 
-// Leaving takes a mark from a peer or an operator.
-func (b *Board) Leaving(m Mark) {
+// MarkDraining takes a mark from a peer or an operator.
+func (b *Board) MarkDraining(m TargetKey) {
 	if b.marks[m] {
 		return
 	}
 	b.marks[m] = true
-	if t, ok := b.marked(m); ok {
-		b.markLeaving(t, "a peer")
+	if t, ok := b.targetByKey(m); ok {
+		b.setDraining(t, "a peer")
 	}
 }
 
-// Hold takes the whole set of targets that get no new work for now, because the
+// SetHeldTargets takes the whole set of targets that get no new work for now, because the
 // holder of their pool's lease is emptying them before an order.
-func (b *Board) Hold(held map[Mark]bool) {
+func (b *Board) SetHeldTargets(held map[TargetKey]bool) {
 	b.holding = held
 	for _, t := range b.targets {
-		if now := held[t.mark()]; now != t.held {
+		if now := held[t.key()]; now != t.held {
 			b.version++
 			t.held = now
 		}
 	}
 }
 
-// Marks returns the leaving marks of targets that are still on the board.
-func (b *Board) Marks() []Mark {
-	var out []Mark
+// DrainingTargets returns the leaving marks of targets that are still on the board.
+func (b *Board) DrainingTargets() []TargetKey {
+	var out []TargetKey
 	for m := range b.marks {
-		if _, ok := b.marked(m); ok {
+		if _, ok := b.targetByKey(m); ok {
 			out = append(out, m)
 		}
 	}
--- a/route/incarnation.go
+++ b/route/incarnation.go
@@ -16,24 +16,24 @@
 // is the newer one is told by [Entry.Revision], a counter of the list's own.
 type Incarnation string
 
-// startMark stands between an id and the time of a start.
-const startMark = "@"
+// startSeparator stands between an id and the time of a start.
+const startSeparator = "@"
 
 // NewIncarnation returns the incarnation with an id that started at a time, zero where
 // that is not known.
 func NewIncarnation(id string, start time.Time) Incarnation {
 	switch {
 	case !start.IsZero():
-		return Incarnation(id + startMark + strconv.FormatInt(start.UnixMilli(), 10))
-	case strings.Contains(id, startMark):
-		return Incarnation(id + startMark)
+		return Incarnation(id + startSeparator + strconv.FormatInt(start.UnixMilli(), 10))
+	case strings.Contains(id, startSeparator):
+		return Incarnation(id + startSeparator)
 	}
 	return Incarnation(id)
 }
 
 // ID returns the target's id, which is the same after it was started again.
 func (i Incarnation) ID() string {
-	if at := strings.LastIndex(string(i), startMark); at >= 0 {
+	if at := strings.LastIndex(string(i), startSeparator); at >= 0 {
 		return string(i[:at])
 	}
 	return string(i)
@@ -42,11 +42,11 @@
 // Start returns when the target started by its own clock, in milliseconds; ok is false
 // where it does not tell.
 func (i Incarnation) Start() (start time.Time, ok bool) {
-	at := strings.LastIndex(string(i), startMark)
+	at := strings.LastIndex(string(i), startSeparator)
 	if at < 0 {
 		return start, false
 	}
-	ms, err := strconv.ParseInt(string(i[at+len(startMark):]), 10, 64)
+	ms, err := strconv.ParseInt(string(i[at+len(startSeparator):]), 10, 64)
 	if err != nil {
 		return start, false
 	}
--- a/route/incarnation_test.go
+++ b/route/incarnation_test.go
@@ -50,17 +50,17 @@
 	}
 }
 
-// startedAt is the incarnation of engine 0 of the tests' boards that started at a second.
-func startedAt(second int64) Incarnation { return NewIncarnation("0", time.Unix(second, 0)) }
+// incarnationAt is the incarnation of engine 0 of the tests' boards that started at a second.
+func incarnationAt(second int64) Incarnation { return NewIncarnation("0", time.Unix(second, 0)) }
 
 // A target that starts again under the id and at the address that it had holds and knows
 // nothing of before: what was believed of the earlier start is gone, whatever clock it
 // started by, and what is still told of that start changes nothing.
-func TestStartedAgain(t *testing.T) {
-	first, again := startedAt(500), startedAt(400)
+func TestTargetRestart(t *testing.T) {
+	first, again := incarnationAt(500), incarnationAt(400)
 	setup := func(t *testing.T) (*partsBoard, *target) {
 		p := newPartsBoard(t, 1)
-		p.startAgain(first, "1", false)
+		p.restart(first, "1", false)
 		return p, p.b.targets[testAddr(0)]
 	}
 	t.Run("what it held", func(t *testing.T) {
@@ -69,61 +69,61 @@
 		p.b.PartChanges(p.now, testAddr(0), time.Unix(500, 0), true, []PartChange{{"salt", part.ID, part.Tokens}})
 		require.Len(t, target.parts.tokens, 1)
 		slot := target.slot
-		p.startAgain(again, "1", false)
+		p.restart(again, "1", false)
 		require.Empty(t, target.parts.tokens)
 		require.NotEqual(t, slot, target.slot, "own sends are believed of a slot")
 	})
 	t.Run("how it failed and how fast it was", func(t *testing.T) {
 		p, target := setup(t)
 		target.learned, target.service = 9, time.Hour
-		target.misses.add(p.now, 50)
-		p.b.takeOut(p.now, target, "test")
-		p.startAgain(again, "1", false)
+		target.failedSends.add(p.now, 50)
+		p.b.markFailing(p.now, target, "test")
+		p.restart(again, "1", false)
 		require.Zero(t, target.learned)
 		require.Equal(t, defaultService, target.service)
-		require.Zero(t, p.b.missCost(p.now, target))
+		require.Zero(t, p.b.failurePenalty(p.now, target))
 		require.True(t, target.usable())
 	})
 	t.Run("what peers have there", func(t *testing.T) {
 		p, target := setup(t)
 		load := func(i Incarnation, n int) map[string]PeerState {
-			return map[string]PeerState{"p": {Loads: []Load{{Target: Mark{testAddr(0), i}, InFlight: n, Prefill: 1000, Tokens: 500}}}}
+			return map[string]PeerState{"p": {Loads: []Load{{Target: TargetKey{testAddr(0), i}, InFlight: n, Prefill: 1000, Tokens: 500}}}}
 		}
-		p.b.Peers(p.now, load(first, 7), 2)
+		p.b.MergePeers(p.now, load(first, 7), 2)
 		require.Equal(t, 7, target.peerInFlight)
-		p.startAgain(again, "1", false)
+		p.restart(again, "1", false)
 		require.Zero(t, target.peerInFlight)
 		require.Zero(t, target.peerPrefill)
 		require.Zero(t, target.peerTokens)
-		p.b.Peers(p.now, load(first, 7), 2)
+		p.b.MergePeers(p.now, load(first, 7), 2)
 		require.Zero(t, target.peerInFlight, "a peer that does not know yet")
 	})
 	t.Run("that it was leaving", func(t *testing.T) {
 		p, target := setup(t)
-		p.startAgain(first, "1", true)
+		p.restart(first, "1", true)
 		require.False(t, target.usable())
-		p.startAgain(again, "1", false)
+		p.restart(again, "1", false)
 		require.True(t, target.usable())
-		p.b.Leaving(Mark{testAddr(0), first})
+		p.b.MarkDraining(TargetKey{testAddr(0), first})
 		require.True(t, target.usable(), "a peer's mark of the earlier start")
-		p.startAgain(again, "1", true)
+		p.restart(again, "1", true)
 		require.False(t, target.usable())
 	})
 	t.Run("its weights", func(t *testing.T) {
 		p, target := setup(t)
-		p.startAgain(first, "3", false)
-		p.startAgain(again, "2", false)
+		p.restart(first, "3", false)
+		p.restart(again, "2", false)
 		weights, ok := target.serves("m", "")
 		require.True(t, ok)
 		require.Equal(t, "2", weights, "numbered weights rise within a start alone")
 	})
 	t.Run("a start that a peer tells of first", func(t *testing.T) {
 		p, target := setup(t)
-		p.b.Leaving(Mark{testAddr(0), again})
-		p.b.Peers(p.now, map[string]PeerState{"p": {Loads: []Load{{Target: Mark{testAddr(0), again}, InFlight: 7}}}}, 2)
+		p.b.MarkDraining(TargetKey{testAddr(0), again})
+		p.b.MergePeers(p.now, map[string]PeerState{"p": {Loads: []Load{{Target: TargetKey{testAddr(0), again}, InFlight: 7}}}}, 2)
 		require.True(t, target.usable(), "it says nothing of the start that the list names")
 		require.Zero(t, target.peerInFlight)
-		p.startAgain(again, "1", false)
+		p.restart(again, "1", false)
 		require.False(t, target.usable(), "its mark holds once the list names it")
 	})
 	t.Run("a start that an answer names by its id", func(t *testing.T) {
@@ -136,20 +136,20 @@
 	t.Run("a word without a start", func(t *testing.T) {
 		p, target := setup(t)
 		target.learned = 9
-		p.startAgain(NewIncarnation("0", time.Time{}), "1", false)
+		p.restart(NewIncarnation("0", time.Time{}), "1", false)
 		require.EqualValues(t, 9, target.learned, "it says nothing of a new start")
 	})
 	t.Run("two starts between two readings", func(t *testing.T) {
 		p, target := setup(t)
-		p.startAgain(startedAt(600), "1", false)
-		p.startAgain(startedAt(700), "1", false)
-		require.Equal(t, startedAt(700), target.incarnation)
+		p.restart(incarnationAt(600), "1", false)
+		p.restart(incarnationAt(700), "1", false)
+		require.Equal(t, incarnationAt(700), target.incarnation)
 	})
 }
 
-// startAgain gives the board an entry of engine 0.
-func (p *partsBoard) startAgain(i Incarnation, weights string, leaving bool) {
-	p.b.Targets(p.now, []Seen{
+// restart gives the board an entry of engine 0.
+func (p *partsBoard) restart(i Incarnation, weights string, leaving bool) {
+	p.b.SetTargets(p.now, []ListedTarget{
 		{Addr: testAddr(0), Labels: map[string]string{"s": "e"}, Leaving: leaving, Incarnation: i},
 		{Addr: storeTestAddr, Labels: map[string]string{"s": "k"}},
 	})
@@ -160,9 +160,9 @@
 
 // Events of another start than the list names are not taken, whichever of the two is the
 // later, and what was believed to be held is not relied on any more.
-func TestEventsOfAnotherStart(t *testing.T) {
+func TestEventsOfOtherIncarnation(t *testing.T) {
 	p := newPartsBoard(t, 1, WithEventHandler(func(event.Event) {}))
-	p.startAgain(startedAt(500), "1", false)
+	p.restart(incarnationAt(500), "1", false)
 	held := []PartChange{{"salt", "aa", 3000}}
 	tokens := func() int { return len(p.b.targets[testAddr(0)].parts.tokens) }
 	require.True(t, p.b.PartChanges(p.now, testAddr(0), time.Unix(500, 0), true, held))
@@ -179,18 +179,18 @@
 
 // A new start that only an answer told of is sent to by what is known of the earlier one
 // until it reports itself: a router that polls seldom has nothing else to go by.
-func TestStartedAgainBeforeReport(t *testing.T) {
+func TestTargetRestartBeforeReport(t *testing.T) {
 	p := newPartsBoard(t, 1)
-	p.startAgain(startedAt(500), "2", false)
+	p.restart(incarnationAt(500), "2", false)
 	target := p.b.targets[testAddr(0)]
-	p.b.identify(p.now, target, startedAt(600))
+	p.b.identify(p.now, target, incarnationAt(600))
 	weights, ok := target.serves("m", "")
 	require.True(t, ok)
 	require.Equal(t, "2", weights)
-	p.startAgain(startedAt(600), "1", false)
+	p.restart(incarnationAt(600), "1", false)
 	weights, _ = target.serves("m", "")
 	require.Equal(t, "1", weights, "its own report counts, also with older weights")
-	p.startAgain(startedAt(600), "0", false)
+	p.restart(incarnationAt(600), "0", false)
 	weights, _ = target.serves("m", "")
 	require.Equal(t, "1", weights, "within a start they rise")
 }
--- a/route/kept.go
+++ b/route/kept.go
@@ -9,7 +9,7 @@
 
 // Export asks to copy a hot prefix from a target to the kept KV store.
 type Export struct {
-	Target  Mark
+	Target  TargetKey
 	Pool    string
 	Key     Block
 	Salt    string
@@ -177,7 +177,7 @@
 	k.askedAt = now
 	b.exporting++
 	return []Action{Export{
-		Target: Mark{a.Target, a.Incarnation}, Pool: pool, Key: c.blocks[end], Salt: c.salt,
+		Target: TargetKey{a.Target, a.Incarnation}, Pool: pool, Key: c.blocks[end], Salt: c.salt,
 		Text: r.Text[:(end+1)*BlockBytes*ChainEvery], Request: r.ID,
 	}}
 }
--- a/route/limit.go
+++ b/route/limit.go
@@ -10,8 +10,8 @@
 
 // orgState is what a router knows of one organisation's use.
 type orgState struct {
-	requests allowance
-	tokens   allowance
+	requests sharedBucket
+	tokens   sharedBucket
 	inFlight int
 	offered  meter
 	// share is this router's part of the organisation's requests in flight, from 0 to 1.
@@ -25,7 +25,7 @@
 	o, ok := b.orgs[name]
 	if !ok {
 		o = &orgState{
-			requests: newAllowance(b.begun), tokens: newAllowance(b.begun),
+			requests: newSharedBucket(b.begun), tokens: newSharedBucket(b.begun),
 			offered: newMeter(demandWindow), share: 1 / float64(b.routers),
 		}
 		b.orgs[name] = o
@@ -58,42 +58,42 @@
 	o, l := b.orgState(name), org.Limits
 	c := Charge{org: name, requests: 1, tokens: float64(tokens)}
 	o.offered.add(now, 1)
-	if g := b.granted(now, l.RequestsPerSecond, l.RequestBurst); g.rate > 0 && !o.requests.take(now, g, c.requests, b.rng.Float64()) {
+	if g := b.limitGrant(now, l.RequestsPerSecond, l.RequestBurst); g.rate > 0 && !o.requests.tryTake(now, g, c.requests, b.rng.Float64()) {
 		return Charge{}, b.overLimit(now, &o.requests, g, c.requests, "requests")
 	}
-	if g := b.granted(now, l.TokensPerSecond, l.TokenBurst); g.rate > 0 && !o.tokens.take(now, g, c.tokens, b.rng.Float64()) {
-		o.requests.giveBack(now, c.requests)
+	if g := b.limitGrant(now, l.TokensPerSecond, l.TokenBurst); g.rate > 0 && !o.tokens.tryTake(now, g, c.tokens, b.rng.Float64()) {
+		o.requests.refund(now, c.requests)
 		return Charge{}, b.overLimit(now, &o.tokens, g, c.tokens, "tokens")
 	}
 	return c, nil
 }
 
-// GiveBack returns a charge of a request that did not run.
-func (b *Board) GiveBack(now time.Time, c Charge) {
+// RefundCharge returns a charge of a request that did not run.
+func (b *Board) RefundCharge(now time.Time, c Charge) {
 	if o, ok := b.orgs[c.org]; ok {
-		o.requests.giveBack(now, c.requests)
-		o.tokens.giveBack(now, c.tokens)
+		o.requests.refund(now, c.requests)
+		o.tokens.refund(now, c.tokens)
 	}
 }
 
-// burstPart is the part of the slack that is there as a burst from the beginning, so that a
+// slackBurstShare is the part of the slack that is there as a burst from the beginning, so that a
 // large request below the limit is not refused. The rest, and what all may go over the limit
 // by, is for what is let through before all have heard of it: so 90 routers of which 15 are cut off
 // as an organisation begins to ask for four times its limit stay below the bound
 // (TestLimitBound). One that is alone hears of everything at once, and keeps back what is
 // under way.
 const (
-	burstPart  = 0.35
-	burstAlone = 0.8
-	// leastRatePart is the part of a rate that is used, besides what all may go over it by: the
+	slackBurstShare      = 0.35
+	slackBurstShareAlone = 0.8
+	// minRateShare is the part of a rate that is used, besides what all may go over it by: the
 	// rest is for what is let through before all have heard of it, and for what routers used last
 	// that end or are cut off. With a tenth over, 0.96 is used, which TestLimitBound is played with.
-	leastRatePart = 0.86
+	minRateShare = 0.86
 )
 
-// granted is this router's and those routers' part of a limit that it is in touch with; the
+// limitGrant is this router's and those routers' part of a limit that it is in touch with; the
 // others have an equal part each, since nobody knows what they use.
-func (b *Board) granted(now time.Time, rate, burst float64) grant {
+func (b *Board) limitGrant(now time.Time, rate, burst float64) grant {
 	if rate <= 0 {
 		return grant{}
 	}
@@ -101,48 +101,48 @@
 		burst = rate
 	}
 	q := b.snap.Config.Requests
-	known, all := b.together(now)
+	known, all := b.countLimitSharers(now)
 	part := float64(known) / float64(all)
 	if all > 1 {
-		burst += burstPart * q.LimitSlack
-		part *= min(1, leastRatePart+q.LimitOverage)
+		burst += slackBurstShare * q.LimitSlack
+		part *= min(1, minRateShare+q.LimitOverage)
 	} else {
-		burst += burstAlone * q.LimitSlack
+		burst += slackBurstShareAlone * q.LimitSlack
 	}
 	return grant{rate: rate * part, burst: burst * part, whole: known == all, alone: known == 1}
 }
 
 // The bounds of how many routers share a limit.
 const (
-	// touchTime is the age up to which the word of another router counts for limits. Words
+	// peerUsageMaxAge is the age up to which the word of another router counts for limits. Words
 	// come every 250 ms; one that is cut off uses what it had for as long.
-	touchTime = 700 * time.Millisecond
-	// meetOthers is how long a router that began may have met no other, and unmetRouters how
+	peerUsageMaxAge = 700 * time.Millisecond
+	// peerDiscoveryTime is how long a router that began may have met no other, and assumedRouters how
 	// many share the limits with it until then, where its settings name only some and it was
 	// not told how many there are. 90 that began together took a third of each limit each.
-	meetOthers   = 2500 * time.Millisecond
-	unmetRouters = 512
-	// sharersKept is how long routers that are not heard of keep their parts. Nobody can
+	peerDiscoveryTime = 2500 * time.Millisecond
+	assumedRouters    = 512
+	// limitSharersWindow is how long routers that are not heard of keep their parts. Nobody can
 	// tell those that are cut off, and use them, from those that are gone; a cut of a node
 	// or a failure domain is mended within minutes.
-	sharersKept = time.Minute
+	limitSharersWindow = time.Minute
 )
 
-// together returns how many routers this one shares its account of limits with, itself
+// countLimitSharers returns how many routers this one shares its account of limits with, itself
 // among them, and how many there may be.
-func (b *Board) together(now time.Time) (known, all int) {
-	return b.togetherWith(now, b.limitReporters, b.limitsReportedAt)
+func (b *Board) countLimitSharers(now time.Time) (known, all int) {
+	return b.countLimitSharersAt(now, b.limitReporters, b.limitsReportedAt)
 }
 
-// togetherWith is together for an account of which so many other routers told at a time.
-func (b *Board) togetherWith(now time.Time, counted int, toldAt time.Time) (known, all int) {
+// countLimitSharersAt is together for an account of which so many other routers told at a time.
+func (b *Board) countLimitSharersAt(now time.Time, counted int, toldAt time.Time) (known, all int) {
 	known = 1
-	if now.Sub(toldAt) <= touchTime && !b.disabled.Has(LimitAccount) {
+	if now.Sub(toldAt) <= peerUsageMaxAge && !b.disabled.Has(LimitAccount) {
 		known += counted
 	}
 	all = max(b.limitSharers.value, b.routers)
-	if b.partialPeerList && !b.soleRouter && known == 1 && all <= b.configuredRouters && now.Sub(b.begun) < meetOthers {
-		all = max(all, unmetRouters)
+	if b.partialPeerList && !b.soleRouter && known == 1 && all <= b.configuredRouters && now.Sub(b.begun) < peerDiscoveryTime {
+		all = max(all, assumedRouters)
 	}
 	return min(known, all), all
 }
@@ -166,31 +166,31 @@
 		return &Refusal{Cause: CauseLimit, Detail: "the organisation is not configured any more"}
 	}
 	o := b.orgState(r.Org)
-	if most := org.Limits.InFlight; most > 0 && o.inFlight >= part(most, o.share) {
+	if most := org.Limits.InFlight; most > 0 && o.inFlight >= shareOf(most, o.share) {
 		return &Refusal{Cause: CauseLimit, RetryAfter: b.minRetryAfter, Detail: "limit on requests in flight"}
 	}
 	o.inFlight++
 	return nil
 }
 
-// part is a router's share of a whole number, at least one.
-func part(n int, share float64) int {
+// shareOf is a router's share of a whole number, at least one.
+func shareOf(n int, share float64) int {
 	return max(1, int(math.Round(float64(n)*share)))
 }
 
-// refund gives back the tokens that an answer did not use, where the request's own
+// refundUnusedTokens gives back the tokens that an answer did not use, where the request's own
 // estimate was charged.
-func (b *Board) refund(now time.Time, r *request, u *Usage) {
+func (b *Board) refundUnusedTokens(now time.Time, r *request, u *Usage) {
 	if o, ok := b.orgs[r.Org]; ok && u != nil && r.Model != nil && r.estimated {
-		o.tokens.giveBack(now, float64(max(0, r.MaxTokens-u.Completion)))
+		o.tokens.refund(now, float64(max(0, r.MaxTokens-u.Completion)))
 	}
 }
 
 // defaultMinRetryAfter is the least time a caller is told to stay away unless an option says otherwise.
 const defaultMinRetryAfter = time.Second
 
-func (b *Board) overLimit(now time.Time, a *allowance, g grant, cost float64, unit string) *Refusal {
-	known, all := b.together(now)
+func (b *Board) overLimit(now time.Time, a *sharedBucket, g grant, cost float64, unit string) *Refusal {
+	known, all := b.countLimitSharers(now)
 	return &Refusal{
 		Cause: CauseLimit, RetryAfter: max(a.wait(g, cost), b.minRetryAfter),
 		Detail: fmt.Sprintf("limit on %s per second: %.0f wanted, %.0f left, %.0f a second come in, %.0f are asked for, for %d of %d routers",
@@ -206,9 +206,9 @@
 	return 1
 }
 
-// shareLimits takes what the others told of organisations' use, and divides the bounds on
+// mergeOrgDemands takes what the others told of organisations' use, and divides the bounds on
 // requests in flight by the demand at each router.
-func (b *Board) shareLimits(now time.Time, states map[string]PeerState) {
+func (b *Board) mergeOrgDemands(now time.Time, states map[string]PeerState) {
 	b.limitReporters, b.limitsReportedAt = 0, now
 	told := make(map[string]Demand)
 	for _, s := range states {
@@ -220,36 +220,36 @@
 	known := 1
 	total := make(map[string]float64)
 	for _, s := range b.peers {
-		known += s.speaks()
+		known += s.routerCount()
 		for _, d := range s.Demands {
 			total[d.Org] += d.Rate
 		}
 	}
 	for name := range told {
-		if _, ok := b.snapOrg(name); ok {
+		if _, ok := b.configuredOrg(name); ok {
 			b.orgState(name)
 		}
 	}
 	for name, o := range b.orgs {
-		b.hearUse(now, name, o, told[name])
+		b.mergeOrgUsage(now, name, o, told[name])
 		o.shareInFlight(now, total[name], b.routers, known)
 	}
 }
 
-// snapOrg returns an organisation of the configuration in force.
-func (b *Board) snapOrg(name string) (*policy.Org, bool) {
+// configuredOrg returns an organisation of the configuration in force.
+func (b *Board) configuredOrg(name string) (*policy.Org, bool) {
 	if b.snap == nil {
 		return nil, false
 	}
 	return b.snap.Org(name)
 }
 
-// hearUse takes what the others told of one organisation's use.
-func (b *Board) hearUse(now time.Time, name string, o *orgState, told Demand) {
-	if org, ok := b.snapOrg(name); ok {
+// mergeOrgUsage takes what the others told of one organisation's use.
+func (b *Board) mergeOrgUsage(now time.Time, name string, o *orgState, told Demand) {
+	if org, ok := b.configuredOrg(name); ok {
 		l := org.Limits
-		o.requests.hear(now, b.granted(now, l.RequestsPerSecond, l.RequestBurst), told.requests())
-		o.tokens.hear(now, b.granted(now, l.TokensPerSecond, l.TokenBurst), told.tokens())
+		o.requests.mergeOthers(now, b.limitGrant(now, l.RequestsPerSecond, l.RequestBurst), told.requests())
+		o.tokens.mergeOthers(now, b.limitGrant(now, l.TokensPerSecond, l.TokenBurst), told.tokens())
 	}
 }
 
@@ -265,8 +265,8 @@
 	if known < routers {
 		byDemand = math.Min(byDemand, even)
 	}
-	o.share = evenPart*even + (1-evenPart)*byDemand
+	o.share = evenShare*even + (1-evenShare)*byDemand
 }
 
-// evenPart is the part of every bound on requests in flight that is shared evenly between routers.
-const evenPart = 0.2
+// evenShare is the part of every bound on requests in flight that is shared evenly between routers.
+const evenShare = 0.2
--- a/route/limit_charge_test.go
+++ b/route/limit_charge_test.go
@@ -9,7 +9,7 @@
 
 // What a request was charged is given back if it ran nowhere, and counts once if it did, also
 // over a repeat.
-func TestLimitGivenBack(t *testing.T) {
+func TestLimitRefunded(t *testing.T) {
 	cases := map[string]struct {
 		end   func(w *world, a Attempt)
 		costs float64
@@ -52,11 +52,11 @@
 	}
 }
 
-// A router's word counts for limits for touchTime, and not with those that it is joined with later.
-func TestLimitWordsAge(t *testing.T) {
+// A router's word counts for limits for peerUsageMaxAge, and not with those that it is joined with later.
+func TestLimitUpdatesAge(t *testing.T) {
 	s := PeerState{Counted: 3, Speaks: 3, Demands: []Demand{{Org: "a", Tokens: 5}}}
-	require.Equal(t, s, s.Aged(touchTime))
-	old := s.Aged(touchTime + time.Millisecond)
+	require.Equal(t, s, s.Aged(peerUsageMaxAge))
+	old := s.Aged(peerUsageMaxAge + time.Millisecond)
 	require.Zero(t, old.Counted)
 	require.Empty(t, old.Demands)
 	require.Equal(t, 3, old.Speaks, "it is a router all the same")
--- a/route/limit_fleet_test.go
+++ b/route/limit_fleet_test.go
@@ -88,11 +88,11 @@
 		},
 	}
 	for _, b := range f.boards {
-		f.adopt(b)
+		f.configure(b)
 	}
 }
 
-func (f *limitFleet) adopt(b *Board) {
+func (f *limitFleet) configure(b *Board) {
 	snap, err := policy.Compile(f.cfg, b.Revision()+1)
 	require.NoError(f.t, err)
 	b.Adopt(f.now, snap)
@@ -101,12 +101,12 @@
 // start starts a router, which knows by its settings that there are three or more.
 func (f *limitFleet) start(i int) {
 	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.side))), WithPartialPeerList()}, f.opts...)...)
-	f.adopt(b)
+	f.configure(b)
 	f.boards[i] = b
 }
 
-// part parts the fleet: router i reaches those of the same number alone.
-func (f *limitFleet) part(side func(i int) int) {
+// partition parts the fleet: router i reaches those of the same number alone.
+func (f *limitFleet) partition(side func(i int) int) {
 	for i := range f.side {
 		f.side[i] = side(i)
 	}
@@ -122,7 +122,7 @@
 	for i, b := range f.boards {
 		if !f.frozen[i] {
 			others, routers := f.others(i, sums[f.side[i]])
-			b.Peers(f.now, others, routers)
+			b.MergePeers(f.now, others, routers)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	}
 	out := make(map[int]PeerState)
 	for side, states := range bySide {
-		out[side] = Join(states)
+		out[side] = JoinStates(states)
 	}
 	return out
 }
@@ -191,7 +191,7 @@
 		used := 0.0
 		f.now = f.now.Add(fleetStep / 2)
 		for range poisson(f.rng, mean) {
-			used += f.ask()
+			used += f.sendRequests()
 		}
 		f.now = f.now.Add(-fleetStep / 2)
 		f.used = append(f.used, used)
@@ -208,9 +208,9 @@
 	}
 }
 
-// ask asks one router and returns the tokens that it let through. A refused caller comes
+// sendRequests asks one router and returns the tokens that it let through. A refused caller comes
 // back to another router, once.
-func (f *limitFleet) ask() float64 {
+func (f *limitFleet) sendRequests() float64 {
 	cost := f.prompt()
 	f.bucket.refillTo(f.now, f.rate, f.rate)
 	if f.bucket.level >= cost {
@@ -240,8 +240,8 @@
 	return 0
 }
 
-// most returns the most that was used in one window.
-func (f *limitFleet) most() float64 {
+// maxUsed returns the most that was used in one window.
+func (f *limitFleet) maxUsed() float64 {
 	sum, most := 0.0, 0.0
 	for i, u := range f.used {
 		sum += u
@@ -258,34 +258,34 @@
 	return (rate*fleetWindow.Seconds()+rate)*(1+fleetOverage) + fleetSlack
 }
 
-// limitPlays are histories of a fleet in which an organisation asks for several times as much as it may.
-func limitPlays() map[string]func(f *limitFleet) {
+// limitScenarios are histories of a fleet in which an organisation asks for several times as much as it may.
+func limitScenarios() map[string]func(f *limitFleet) {
 	const surge = 4.2
 	return map[string]func(f *limitFleet){
 		"surge": func(f *limitFleet) { f.play(10*time.Second, surge) },
 		"a sixth is cut off as it begins": func(f *limitFleet) {
-			f.part(func(i int) int { return cutOff(i, 6) })
+			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(10*time.Second, surge)
 		},
 		"a sixth is cut off in it": func(f *limitFleet) {
 			f.play(3*time.Second, surge)
-			f.part(func(i int) int { return cutOff(i, 6) })
+			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(10*time.Second, surge)
 		},
 		"a sixth is cut off for long": func(f *limitFleet) {
-			f.part(func(i int) int { return cutOff(i, 6) })
+			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(20*time.Second, 0.5)
 			f.play(10*time.Second, surge)
 		},
 		"parted in halves for long": func(f *limitFleet) {
-			f.part(func(i int) int { return i % 2 })
+			f.partition(func(i int) int { return i % 2 })
 			f.play(20*time.Second, 0.5)
 			f.play(10*time.Second, surge)
 		},
 		"a cut heals in it": func(f *limitFleet) {
-			f.part(func(i int) int { return cutOff(i, 6) })
+			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(4*time.Second, surge)
-			f.part(func(int) int { return 0 })
+			f.partition(func(int) int { return 0 })
 			f.play(10*time.Second, surge)
 		},
 		"half start again in it": func(f *limitFleet) {
@@ -324,7 +324,7 @@
 // The bound of a limit holds in every window over all routers together, whatever happens to
 // them as an organisation asks for several times as much as it may.
 func TestLimitBound(t *testing.T) {
-	for name, play := range limitPlays() {
+	for name, play := range limitScenarios() {
 		for _, n := range []int{1, 8, 90, 390} {
 			for _, rate := range limitRates(n) {
 				t.Run(fmt.Sprintf("%s/%d routers/%.0f", name, n, rate), func(t *testing.T) { checkLimit(t, play, n, rate, 1) })
@@ -338,9 +338,9 @@
 func TestLimitBoundAgain(t *testing.T) {
 	for _, name := range []string{"all start again in it", "one after the other"} {
 		for _, seed := range []uint64{5, 6, 7} {
-			checkLimit(t, limitPlays()[name], 90, 300_000, seed)
-			checkLimit(t, limitPlays()[name], 90, 1_210_000, seed)
-			checkLimit(t, limitPlays()[name], 390, 1_210_000, seed)
+			checkLimit(t, limitScenarios()[name], 90, 300_000, seed)
+			checkLimit(t, limitScenarios()[name], 90, 1_210_000, seed)
+			checkLimit(t, limitScenarios()[name], 390, 1_210_000, seed)
 		}
 	}
 }
@@ -349,8 +349,8 @@
 	f := newLimitFleet(t, routers, rate, seed)
 	f.play(9*time.Second, 0.56)
 	play(f)
-	t.Logf("%.2f of the bound, %.2f of the limit", f.most()/f.bound(rate), f.most()/(rate*fleetWindow.Seconds()))
-	require.LessOrEqual(t, f.most(), f.bound(rate))
+	t.Logf("%.2f of the bound, %.2f of the limit", f.maxUsed()/f.bound(rate), f.maxUsed()/(rate*fleetWindow.Seconds()))
+	require.LessOrEqual(t, f.maxUsed(), f.bound(rate))
 }
 
 // limitRates are the limits of the users' sheet, in tokens a second: the least, one between and
@@ -379,7 +379,7 @@
 		f.play(fleetWindow, 4)
 		f.used = nil
 		f.play(2*fleetWindow, 4)
-		require.LessOrEqual(t, f.most(), f.bound(200_000), "%d routers", n)
+		require.LessOrEqual(t, f.maxUsed(), f.bound(200_000), "%d routers", n)
 	}
 }
 
@@ -403,7 +403,7 @@
 // The ways that were weighed, over 90 routers: what each uses of the bound in a surge, and
 // what it refuses of what one bucket for all would let through at 0.56 of the limit. The
 // account of all routers is within the bound and refuses nearly nothing.
-func TestLimitWays(t *testing.T) {
+func TestLimitStrategies(t *testing.T) {
 	const routers = 90
 	ways := map[string]func(rate float64) *limitFleet{
 		"account": func(rate float64) *limitFleet { return newLimitFleet(t, routers, rate, 1) },
@@ -424,7 +424,7 @@
 			f.play(20*time.Second, 0.56)
 			refused := 1 - f.served/f.owed
 			f.play(10*time.Second, 4.2)
-			used := f.most() / f.bound(rate)
+			used := f.maxUsed() / f.bound(rate)
 			t.Logf("%s, %.0f: %.3f refused, %.2f of the bound", name, rate, refused, used)
 			if name == "account" {
 				require.LessOrEqual(t, refused, 0.005)
@@ -454,7 +454,7 @@
 		even := 1 / float64(len(parts))
 		share := even
 		if all > 0 {
-			share = evenPart*even + (1-evenPart)*p.asked.windowRate(f.now)/all
+			share = evenShare*even + (1-evenShare)*p.asked.windowRate(f.now)/all
 		}
 		p.asked.add(f.now, cost)
 		p.bucket.refillTo(f.now, f.rate*share, f.rate*share)
--- a/route/limit_restart_test.go
+++ b/route/limit_restart_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// limitLives is a limit world whose routers are started anew, with what is admitted in each step.
-type limitLives struct {
+// limitRestarts is a limit world whose routers are started anew, with what is admitted in each step.
+type limitRestarts struct {
 	*limitWorld
 	t        *testing.T
 	rng      *rand.Rand
@@ -26,25 +26,25 @@
 	limitStep    = 100 * time.Millisecond
 )
 
-func newLimitLives(t *testing.T) *limitLives {
-	return &limitLives{limitWorld: newLimitWorld(t, limitRouters, limitRate), t: t, rng: rand.New(rand.NewPCG(1, 1))}
+func newLimitRestarts(t *testing.T) *limitRestarts {
+	return &limitRestarts{limitWorld: newLimitWorld(t, limitRouters, limitRate), t: t, rng: rand.New(rand.NewPCG(1, 1))}
 }
 
 // restart starts a router anew, which knows the others by its settings alone.
-func (w *limitLives) restart(i int) {
+func (w *limitRestarts) restart(i int) {
 	b := NewBoard(WithSeed(1), WithRouters(limitRouters))
 	b.Adopt(w.now, testSetup{rate: limitRate}.snapshot(w.t))
 	w.boards[i] = b
 }
 
-func (w *limitLives) herd() {
+func (w *limitRestarts) surge() {
 	for i := range limitRouters {
 		w.restart(i)
 	}
 }
 
-// pass lets time pass, in which more is offered than the limit allows.
-func (w *limitLives) pass(d time.Duration) {
+// advance lets time pass, in which more is offered than the limit allows.
+func (w *limitRestarts) advance(d time.Duration) {
 	for ; d > 0; d -= limitStep {
 		w.limitWorld.admitted = 0
 		w.play(w.rng, limitStep, limitOffered, func(int) float64 { return 1 })
@@ -52,8 +52,8 @@
 	}
 }
 
-// most returns the most that was admitted in one window.
-func (w *limitLives) most() int {
+// maxUsed returns the most that was admitted in one window.
+func (w *limitRestarts) maxUsed() int {
 	n, most := 0, 0
 	for i, a := range w.admitted {
 		if n += a; i >= int(limitWindow/limitStep) {
@@ -68,35 +68,35 @@
 // are started anew: a process that has just begun does not know what the last one of
 // its name admitted, and owes nobody a burst.
 func TestLimitOverRestarts(t *testing.T) {
-	cases := map[string]func(w *limitLives){
-		"nobody restarts": func(w *limitLives) { w.pass(2 * limitWindow) },
-		"all once": func(w *limitLives) {
-			w.pass(limitWindow)
-			w.herd()
-			w.pass(limitWindow)
+	cases := map[string]func(w *limitRestarts){
+		"nobody restarts": func(w *limitRestarts) { w.advance(2 * limitWindow) },
+		"all once": func(w *limitRestarts) {
+			w.advance(limitWindow)
+			w.surge()
+			w.advance(limitWindow)
 		},
-		"all again and again": func(w *limitLives) {
-			w.pass(limitWindow)
+		"all again and again": func(w *limitRestarts) {
+			w.advance(limitWindow)
 			for range 8 {
-				w.herd()
-				w.pass(time.Second)
+				w.surge()
+				w.advance(time.Second)
 			}
 		},
-		"in turn": func(w *limitLives) {
-			w.pass(limitWindow)
+		"in turn": func(w *limitRestarts) {
+			w.advance(limitWindow)
 			for i := range 3 * limitRouters {
 				w.restart(i % limitRouters)
-				w.pass(500 * time.Millisecond)
+				w.advance(500 * time.Millisecond)
 			}
 		},
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newLimitLives(t)
+			w := newLimitRestarts(t)
 			play(w)
-			t.Logf("%d admitted", w.most())
+			t.Logf("%d admitted", w.maxUsed())
 			// A burst of a second's worth is allowed once in a window.
-			require.LessOrEqual(t, float64(w.most()), 1.1*limitRate*(limitWindow.Seconds()+1))
+			require.LessOrEqual(t, float64(w.maxUsed()), 1.1*limitRate*(limitWindow.Seconds()+1))
 		})
 	}
 }
--- a/route/limit_test.go
+++ b/route/limit_test.go
@@ -38,7 +38,7 @@
 				states[fmt.Sprint(j)] = o.State(w.now)
 			}
 		}
-		b.Peers(w.now, states, len(w.boards))
+		b.MergePeers(w.now, states, len(w.boards))
 	}
 }
 
--- a/route/newest.go
+++ b/route/newest.go
@@ -23,8 +23,8 @@
 	First, Last time.Time
 }
 
-// NewestWord is a [NewestSpan] as one process tells another, whose clock is not its own.
-type NewestWord struct {
+// NewestUpdate is a [NewestSpan] as one process tells another, whose clock is not its own.
+type NewestUpdate struct {
 	Model   string
 	Weights string
 	// FirstAge and LastAge are how long before the word First and Last were; a
@@ -40,7 +40,7 @@
 
 // Span returns what a word says that was given between begun and heard; a zero begun
 // says that it is not known how long the word was on its way.
-func (w NewestWord) Span(begun, heard time.Time) NewestSpan {
+func (w NewestUpdate) Span(begun, heard time.Time) NewestSpan {
 	s := NewestSpan{Model: w.Model, Weights: w.Weights, First: heard.Add(-w.FirstAge)}
 	if !begun.IsZero() && w.LastAge >= 0 {
 		s.Last = begun.Add(-w.LastAge)
@@ -48,9 +48,9 @@
 	return s
 }
 
-// Word returns what the span says to another process now.
-func (s NewestSpan) Word(now time.Time) NewestWord {
-	w := NewestWord{Model: s.Model, Weights: s.Weights, FirstAge: now.Sub(s.First), LastAge: -1}
+// Update returns what the span says to another process now.
+func (s NewestSpan) Update(now time.Time) NewestUpdate {
+	w := NewestUpdate{Model: s.Model, Weights: s.Weights, FirstAge: now.Sub(s.First), LastAge: -1}
 	if !s.Last.IsZero() {
 		w.LastAge = now.Sub(s.Last)
 	}
@@ -79,9 +79,9 @@
 // OlderWeights reports whether the numbered weights a came before b.
 func OlderWeights(a, b string) bool { return compareWeights(a, b) < 0 }
 
-// Following reports whether no weights can have been named between two: they are counted
+// ConsecutiveWeights reports whether no weights can have been named between two: they are counted
 // from 1 on, and those that targets have before any are named are the first.
-func Following(before, weights string) bool {
+func ConsecutiveWeights(before, weights string) bool {
 	was, err := strconv.ParseInt(cmp.Or(before, "1"), 10, 64)
 	if err != nil {
 		return false
@@ -105,9 +105,9 @@
 	return slices.Delete(l, 0, n)
 }
 
-// replaced returns between which moments weights were replaced by newer ones; a zero
+// replacedBetween returns between which moments weights were replaced by newer ones; a zero
 // after says that the earlier bound is not known, ok false that none newer are known.
-func (l spans) replaced(weights string) (after, by time.Time, ok bool) {
+func (l spans) replacedBetween(weights string) (after, by time.Time, ok bool) {
 	for _, s := range l {
 		switch {
 		case compareWeights(s.Weights, weights) <= 0:
--- a/route/parts.go
+++ b/route/parts.go
@@ -69,10 +69,10 @@
 	t.parts.at, t.parts.relayed = now, false
 	for _, c := range changes {
 		key := keyOfPart(c.Salt, c.ID)
-		shared := b.shared.named(c.ID, key)
+		shared := b.shared.recordKey(c.ID, key)
 		b.setPart(t, key, c.Tokens, shared)
 		if shared || c.Tokens == 0 {
-			b.shared.held(t, key, c.Tokens)
+			b.shared.recordHolder(t, key, c.Tokens)
 		}
 	}
 	return true
@@ -108,7 +108,7 @@
 func (b *Board) dropParts(t *target) {
 	for key := range t.parts.tokens {
 		b.setPart(t, key, 0, b.shared.has(key))
-		b.shared.held(t, key, 0)
+		b.shared.recordHolder(t, key, 0)
 	}
 	t.parts = heldParts{}
 }
--- a/route/parts_test.go
+++ b/route/parts_test.go
@@ -52,12 +52,12 @@
 	snap, err := policy.Compile(cfg, 1)
 	require.NoError(t, err)
 	p.b.Adopt(p.now, snap)
-	var seen []Seen
+	var seen []ListedTarget
 	for i := range engines {
-		seen = append(seen, Seen{Addr: testAddr(i), Labels: map[string]string{"s": "e"}})
+		seen = append(seen, ListedTarget{Addr: testAddr(i), Labels: map[string]string{"s": "e"}})
 	}
-	seen = append(seen, Seen{Addr: storeTestAddr, Labels: map[string]string{"s": "k"}})
-	p.b.Targets(p.now, seen)
+	seen = append(seen, ListedTarget{Addr: storeTestAddr, Labels: map[string]string{"s": "k"}})
+	p.b.SetTargets(p.now, seen)
 	for i := range engines {
 		p.report(i, "1")
 	}
@@ -69,9 +69,9 @@
 // announceWeights tells the board that weights were named now; until now the former ones were the newest.
 func (p *partsBoard) announceWeights(weights string) {
 	if before := p.b.NewestWeights("m"); before != "" {
-		p.b.Newest(p.now, NewestAt(p.now, p.now, "m", before))
+		p.b.AddNewestSpan(p.now, NewestAt(p.now, p.now, "m", before))
 	}
-	p.b.Newest(p.now, NewestAt(p.now, p.now, "m", weights))
+	p.b.AddNewestSpan(p.now, NewestAt(p.now, p.now, "m", weights))
 }
 
 var storeTestAddr = testAddr(999)
@@ -207,11 +207,11 @@
 func TestPartsTwoStores(t *testing.T) {
 	second := testAddr(998)
 	p := newPartsBoard(t, 2)
-	seen := []Seen{{Addr: storeTestAddr, Labels: map[string]string{"s": "k"}}, {Addr: second, Labels: map[string]string{"s": "k"}}}
+	seen := []ListedTarget{{Addr: storeTestAddr, Labels: map[string]string{"s": "k"}}, {Addr: second, Labels: map[string]string{"s": "k"}}}
 	for i := range 2 {
-		seen = append(seen, Seen{Addr: testAddr(i), Labels: map[string]string{"s": "e"}})
+		seen = append(seen, ListedTarget{Addr: testAddr(i), Labels: map[string]string{"s": "e"}})
 	}
-	p.b.Targets(p.now, seen)
+	p.b.SetTargets(p.now, seen)
 	p.b.Report(p.now, second, Report{Incarnation: "second"})
 	salt := p.request("a", shared...).saltOf("1")
 	stores := []netip.AddrPort{storeTestAddr, second}
@@ -317,9 +317,9 @@
 		p.finish(a)
 	}
 	p.now = p.now.Add(5 * time.Second)
-	p.b.Hold(map[Mark]bool{{testAddr(1), "1"}: true})
+	p.b.SetHeldTargets(map[TargetKey]bool{{testAddr(1), "1"}: true})
 	require.Nil(t, p.place(p.request("a", Part{"late", 1000})), "the first weights are too old")
-	p.b.Hold(nil)
+	p.b.SetHeldTargets(nil)
 	require.Equal(t, "2", p.place(p.request("a", Part{"late2", 1000})).Weights)
 }
 
@@ -379,7 +379,7 @@
 	one, two := newPartsBoard(t, 6), newPartsBoard(t, 6, WithSeed(7))
 	a := one.place(one.request("a", append(shared, own)...))
 	require.Equal(t, a.Target, two.place(two.request("b", append(shared, Part{"x", 700})...)).Target)
-	two.b.Hold(map[Mark]bool{{a.Target, "0"}: true, {a.Target, "1"}: true, {a.Target, "2"}: true,
+	two.b.SetHeldTargets(map[TargetKey]bool{{a.Target, "0"}: true, {a.Target, "1"}: true, {a.Target, "2"}: true,
 		{a.Target, "3"}: true, {a.Target, "4"}: true, {a.Target, "5"}: true})
 	next := two.place(two.request("b", append(shared, Part{"y", 700})...))
 	require.NotEqual(t, a.Target, next.Target)
@@ -393,9 +393,9 @@
 	p := newPartsBoard(t, engines)
 	full := PeerState{}
 	for i := 1; i < engines; i++ {
-		full.Loads = append(full.Loads, Load{Target: Mark{testAddr(i), Incarnation(fmt.Sprint(i))}, InFlight: 1, Tokens: partsMemory})
+		full.Loads = append(full.Loads, Load{Target: TargetKey{testAddr(i), Incarnation(fmt.Sprint(i))}, InFlight: 1, Tokens: partsMemory})
 	}
-	p.b.Peers(p.now, map[string]PeerState{"peer": full}, 2)
+	p.b.MergePeers(p.now, map[string]PeerState{"peer": full}, 2)
 	a := p.place(p.request("a", append(shared, own)...))
 	for range 200 {
 		if a != nil {
--- a/route/peers.go
+++ b/route/peers.go
@@ -14,14 +14,14 @@
 	// Counted is how many of them the demands are of.
 	Counted  int
 	Revision int64
-	Leaving  []Mark
+	Leaving  []TargetKey
 	Loads    []Load
 	Demands  []Demand
 	Fills    []Fill
 	// Limits are the limits that targets named.
-	Limits []LimitWord
+	Limits []LimitUpdate
 	// Silent are targets that gave no sign of life lately.
-	Silent []SilentWord
+	Silent []SilentUpdate
 	// Hot are the parts that prompts are asked about most.
 	Hot []PartRate
 	// Shared are the hashed ids of parts that were seen to be shared lately.
@@ -29,16 +29,16 @@
 	// Kept are the prefixes that this router stored last.
 	Kept []Kept
 	// Holds are the targets that a pool's lease holder is emptying before an order.
-	Holds []Mark
+	Holds []TargetKey
 	// Loaded are the targets that the lease holder saw with new weights.
-	Loaded []WeightsWord
+	Loaded []WeightsUpdate
 	// Rollouts are the roll-outs of pools.
 	Rollouts []RolloutUpdate
 }
 
 // Load is what a router has in flight at a target.
 type Load struct {
-	Target   Mark
+	Target   TargetKey
 	InFlight int
 	Prefill  int
 	// Tokens is the memory that the requests take of an engine.
@@ -68,11 +68,13 @@
 }
 
 // requests and tokens return the demand in one unit.
-func (d Demand) requests() flow { return flowOf(d.Rate, d.Used, d.Level, d.Levels) }
-func (d Demand) tokens() flow   { return flowOf(d.Tokens, d.TokensUsed, d.TokenLevel, d.Levels) }
+func (d Demand) requests() usageRate { return usageRateOf(d.Rate, d.Used, d.Level, d.Levels) }
+func (d Demand) tokens() usageRate {
+	return usageRateOf(d.Tokens, d.TokensUsed, d.TokenLevel, d.Levels)
+}
 
-func flowOf(asked, used, levels float64, n int) flow {
-	f := flow{asked: asked, used: used}
+func usageRateOf(asked, used, levels float64, n int) usageRate {
+	f := usageRate{asked: asked, used: used}
 	if n > 0 {
 		f.level, f.known = levels/float64(n), true
 	}
@@ -83,13 +85,13 @@
 func (d Demand) size() float64 { return d.Rate + d.Tokens }
 
 // Aged returns the state as it counts when it was told some time ago: what was not said
-// again within [touchTime] is no longer counted for limits.
+// again within [peerUsageMaxAge] is no longer counted for limits.
 func (s PeerState) Aged(age time.Duration) PeerState {
-	if age > touchTime {
+	if age > peerUsageMaxAge {
 		s.Demands, s.Counted = nil, 0
 		s.Limits = slices.Clone(s.Limits)
 		for i, w := range s.Limits {
-			s.Limits[i] = w.forgotten()
+			s.Limits[i] = w.withoutUsage()
 		}
 	}
 	return s
@@ -97,7 +99,7 @@
 
 // Fill says that a target's cache got a prefix, named by a block at the end of a message.
 type Fill struct {
-	Target Mark
+	Target TargetKey
 	Block  Block
 	// Age is how long ago it was when the message left.
 	Age time.Duration
@@ -108,25 +110,25 @@
 
 // The bounds on the lists of a [PeerState].
 const (
-	maxLoads   = 32
-	maxDemands = 64
-	maxFills   = 24
-	maxMarks   = 64
-	fillsKept  = 2 * time.Second
+	maxLoads      = 32
+	maxDemands    = 64
+	maxFills      = 24
+	maxTargetKeys = 64
+	fillTTL       = 2 * time.Second
 )
 
-func (s PeerState) speaks() int { return max(1, s.Speaks) }
+func (s PeerState) routerCount() int { return max(1, s.Speaks) }
 
-// Join joins the states of several routers into one.
-func Join(states []PeerState) PeerState {
+// JoinStates joins the states of several routers into one.
+func JoinStates(states []PeerState) PeerState {
 	var out PeerState
-	loads := make(map[Mark]Load)
+	loads := make(map[TargetKey]Load)
 	demands := make(map[string]Demand)
-	leaving := make(map[Mark]bool)
-	loaded := make(map[WeightsWord]bool)
+	leaving := make(map[TargetKey]bool)
+	loaded := make(map[WeightsUpdate]bool)
 	hot := make(map[uint64]float64)
-	silent := make(map[Mark]int)
-	limits := make(map[Mark]LimitWord)
+	silent := make(map[TargetKey]int)
+	limits := make(map[TargetKey]LimitUpdate)
 	rollouts := make(map[string]RolloutUpdate)
 	for _, s := range states {
 		for _, w := range s.Limits {
@@ -142,7 +144,7 @@
 		for _, r := range s.Hot {
 			hot[r.Part] += r.Rate
 		}
-		out.Speaks += s.speaks()
+		out.Speaks += s.routerCount()
 		out.Counted += s.Counted
 		out.Revision = max(out.Revision, s.Revision)
 		for _, l := range s.Loads {
@@ -165,7 +167,7 @@
 	out.Limits = slices.Collect(maps.Values(limits))
 	out.Rollouts = slices.Collect(maps.Values(rollouts))
 	for m, n := range silent {
-		out.Silent = append(out.Silent, SilentWord{m, n})
+		out.Silent = append(out.Silent, SilentUpdate{m, n})
 	}
 	for part, rate := range hot {
 		out.Hot = append(out.Hot, PartRate{part, rate})
@@ -176,17 +178,17 @@
 
 // State returns what this router tells its peers.
 func (b *Board) State(now time.Time) PeerState {
-	s := PeerState{Counted: 1, Revision: b.Revision(), Leaving: b.Marks(), Kept: b.newlyKept, Demands: b.demands(now), Limits: b.toldLimits(now)}
-	s.Leaving = s.Leaving[:min(len(s.Leaving), maxMarks)]
+	s := PeerState{Counted: 1, Revision: b.Revision(), Leaving: b.DrainingTargets(), Kept: b.newlyKept, Demands: b.demands(now), Limits: b.limitUpdates(now)}
+	s.Leaving = s.Leaving[:min(len(s.Leaving), maxTargetKeys)]
 	for _, t := range b.targets {
 		if len(t.attempts) > 0 && len(s.Loads) < maxLoads {
-			s.Loads = append(s.Loads, Load{t.mark(), len(t.attempts), t.prefill, t.tokens})
+			s.Loads = append(s.Loads, Load{t.key(), len(t.attempts), t.prefill, t.tokens})
 		}
 	}
-	s.Silent = b.silentTold(now)
+	s.Silent = b.silentTargets(now)
 	s.Rollouts = b.Rollouts(now)
 	s.Hot = b.hot.report(now)
-	s.Shared = b.shared.told(now)
+	s.Shared = b.shared.recentIDs(now)
 	b.trimFills(now)
 	for _, f := range b.fills[max(0, len(b.fills)-maxFills):] {
 		f.Age = now.Sub(f.at)
@@ -204,7 +206,7 @@
 		if requests.known && tokens.known {
 			d.Level, d.TokenLevel, d.Levels = requests.level, tokens.level, 1
 		}
-		if d.Rate > minDemand || d.Used > minDemand || d.Tokens > minTokens || d.TokensUsed > minTokens {
+		if d.Rate > minDemand || d.Used > minDemand || d.Tokens > minTokenDemand || d.TokensUsed > minTokenDemand {
 			out = append(out, d)
 		}
 	}
@@ -212,31 +214,31 @@
 	return out[:min(len(out), maxDemands)]
 }
 
-// minDemand and minTokens are the rates below which an organisation is not worth telling of.
+// minDemand and minTokenDemand are the rates below which an organisation is not worth telling of.
 const (
-	minDemand = 0.05
-	minTokens = 10
+	minDemand      = 0.05
+	minTokenDemand = 10
 )
 
 func (b *Board) trimFills(now time.Time) {
-	for len(b.fills) > 0 && now.Sub(b.fills[0].at) > fillsKept {
+	for len(b.fills) > 0 && now.Sub(b.fills[0].at) > fillTTL {
 		b.fills = b.fills[1:]
 	}
 }
 
-// Peers takes the states of the routers heard of lately; routers is how many
+// MergePeers takes the states of the routers heard of lately; routers is how many
 // there are, this one included and those not heard of too.
-func (b *Board) Peers(now time.Time, states map[string]PeerState, routers int) []Action {
+func (b *Board) MergePeers(now time.Time, states map[string]PeerState, routers int) []Action {
 	b.routers = max(1, routers, len(states)+1)
 	if b.snap != nil {
 		b.recentRouters.observe(now, b.routers, time.Duration(b.snap.Config.Requests.RetryWindow))
 	}
-	b.limitSharers.observe(now, b.routers, sharersKept)
+	b.limitSharers.observe(now, b.routers, limitSharersWindow)
 	for id, s := range states {
 		b.peers[id] = s
 	}
-	b.forgetPeers(states)
-	b.mergeMarks(states)
+	b.prunePeers(states)
+	b.mergeDraining(states)
 	b.mergeLoads(now)
 	b.mergeFills(now, states)
 	b.mergeKept(states)
@@ -245,23 +247,23 @@
 	b.mergeSilent(now, states)
 	b.mergeRollouts(now, states)
 	b.expireFills(now)
-	b.shareLimits(now, states)
+	b.mergeOrgDemands(now, states)
 	b.mergeLimits(now, states)
 	return b.dispatch(now)
 }
 
-// forgetPeers keeps the last word of a peer that fell silent while it may still
+// prunePeers keeps the last word of a peer that fell silent while it may still
 // run, so that its part of the limits is not given away.
-func (b *Board) forgetPeers(states map[string]PeerState) {
+func (b *Board) prunePeers(states map[string]PeerState) {
 	silent := b.routers - 1
 	for _, s := range states {
-		silent -= s.speaks()
+		silent -= s.routerCount()
 	}
 	for id, s := range b.peers {
 		if _, live := states[id]; live {
 			continue
 		}
-		if silent -= s.speaks(); silent < 0 {
+		if silent -= s.routerCount(); silent < 0 {
 			delete(b.peers, id)
 			continue
 		}
@@ -270,10 +272,10 @@
 	}
 }
 
-func (b *Board) mergeMarks(states map[string]PeerState) {
+func (b *Board) mergeDraining(states map[string]PeerState) {
 	for _, s := range states {
 		for _, m := range s.Leaving {
-			b.Leaving(m)
+			b.MarkDraining(m)
 		}
 	}
 }
@@ -284,7 +286,7 @@
 	}
 	for _, s := range b.peers {
 		for _, l := range s.Loads {
-			if t, ok := b.marked(l.Target); ok {
+			if t, ok := b.targetByKey(l.Target); ok {
 				t.peerInFlight += l.InFlight
 				t.peerPrefill += l.Prefill
 				t.peerTokens += l.Tokens
@@ -296,7 +298,7 @@
 func (b *Board) mergeFills(now time.Time, states map[string]PeerState) {
 	for _, s := range states {
 		for _, f := range s.Fills {
-			if t, ok := b.marked(f.Target); ok {
+			if t, ok := b.targetByKey(f.Target); ok {
 				b.recordFill(now, t, f)
 			}
 		}
--- a/route/place.go
+++ b/route/place.go
@@ -179,7 +179,7 @@
 		b.predict(&cs[i], r, price)
 	}
 	return slices.DeleteFunc(cs, func(c candidate) bool {
-		return r.Model != nil && b.tooOldBy(now.Add(c.timeToFirstToken(r)), r.Model.Name, c.weights)
+		return r.Model != nil && b.tooOldToBegin(now.Add(c.timeToFirstToken(r)), r.Model.Name, c.weights)
 	})
 }
 
@@ -229,10 +229,10 @@
 }
 
 func (b *Board) serviceCandidates(cs []candidate, now time.Time, p *pool, r *request) []candidate {
-	b.recruit(now, p, r)
+	b.loadTargets(now, p, r)
 	for _, t := range p.members {
-		if t.usable() && !t.rests(now) && b.onSide(now, p, r.side, t) {
-			cs = append(cs, candidate{target: t, rank: b.rng.Uint64(), penalty: b.missCost(now, t) + b.serviceDistanceCost(t, r)})
+		if t.usable() && !t.backingOff(now) && b.onSide(now, p, r.side, t) {
+			cs = append(cs, candidate{target: t, rank: b.rng.Uint64(), penalty: b.failurePenalty(now, t) + b.serviceDistanceCost(t, r)})
 		}
 	}
 	return cs
@@ -241,8 +241,8 @@
 // engineCandidates lists the engines that serve the request's model; of a large
 // pool only those worth predicting for.
 func (b *Board) engineCandidates(cs []candidate, now time.Time, p *pool, r *request) []candidate {
-	b.recruit(now, p, r)
-	list := b.ofSide(now, p, r, b.awake(now, b.servers(p, r)))
+	b.loadTargets(now, p, r)
+	list := b.filterSide(now, p, r, b.withoutBackoff(now, b.servers(p, r)))
 	n := max(len(list), b.reserve.Size(p.compiled.Name))
 	if len(list) > maxFullScan {
 		cs = b.narrow(cs, list, n, r)
@@ -264,16 +264,16 @@
 	kept := cs[:0]
 	prefers := b.prefersNewest(r, list)
 	for _, c := range cs {
-		u := b.useOf(now, r.Model.Name, c.weights)
+		u := b.weightsUseOf(now, r.Model.Name, c.weights)
 		price := time.Duration(0)
 		switch {
-		case u == useNoMore:
+		case u == useNever:
 			b.noteUnused(now, c.target, r.Model.Name, c.weights)
 			continue
-		case u == useAtPrice && prefers:
+		case u == usePenalised && prefers:
 			price = b.staleness.Price
 		}
-		c.penalty = price + b.missCost(now, c.target) + b.distanceCost(c.target, r.Bytes)
+		c.penalty = price + b.failurePenalty(now, c.target) + b.distanceCost(c.target, r.Bytes)
 		kept = append(kept, c)
 	}
 	return kept
@@ -393,7 +393,7 @@
 // queueWait predicts how long a new request waits at the target before its own
 // prefill. What peers told is taken to have gone on since.
 func (t *target) queueWait(now time.Time) time.Duration {
-	pending := float64(t.prefill) + max(0, float64(t.peerPrefill)-now.Sub(t.peersAt).Seconds()*t.rate()) + t.recentPrefill(now)
+	pending := float64(t.prefill) + max(0, float64(t.peerPrefill)-now.Sub(t.peersAt).Seconds()*t.rate()) + t.peerSendPrefill(now)
 	wait := seconds(pending / t.rate())
 	if over := t.inFlight() - t.slots() + 1; over > 0 {
 		wait += time.Duration(float64(over) / float64(t.slots()) * float64(t.service))
--- a/route/placed.go
+++ b/route/placed.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		block := c.chain.blocks[n]
-		out.Fills = append(out.Fills, Fill{Target: t.mark(), Block: block, Left: takes})
+		out.Fills = append(out.Fills, Fill{Target: t.key(), Block: block, Left: takes})
 		key := fillKey{t.slot, block}
 		if _, ok := b.pendingFills[key]; !ok {
 			b.pendingFills[key] = pendingFill{begun: now, expectedAt: now.Add(takes), local: true}
@@ -60,7 +60,7 @@
 	}
 	if a.uncached >= minReportedPrefill {
 		out.Prefill = a.uncached
-		out.Load = Load{t.mark(), len(t.attempts) + 1, t.prefill + a.uncached, t.tokens}
+		out.Load = Load{t.key(), len(t.attempts) + 1, t.prefill + a.uncached, t.tokens}
 		b.onPlaced(out)
 	}
 }
@@ -76,7 +76,7 @@
 // MergeFills takes a peer's word on shared parts that targets hold or are reading.
 func (b *Board) MergeFills(now time.Time, fills []Fill) {
 	for _, f := range fills {
-		t, ok := b.recruitMark(now, f.Target)
+		t, ok := b.loadTarget(now, f.Target)
 		if !ok {
 			continue
 		}
@@ -106,7 +106,7 @@
 				continue
 			}
 			f, _ := b.pendingFillOf(now, h.slot, block)
-			out = append(out, Fill{Target: t.mark(), Block: block, Age: age, Left: f.remaining(now)})
+			out = append(out, Fill{Target: t.key(), Block: block, Age: age, Left: f.remaining(now)})
 		}
 	}
 	return out
@@ -115,7 +115,7 @@
 // maxHolderAge is how old a send may be by which a target is named as the holder of a block: for as long as its
 // events, or what was last used there, do not tell better.
 func (b *Board) maxHolderAge(t *target) time.Duration {
-	if b.followed(t) {
+	if b.readsCacheEvents(t) {
 		return relayedLag
 	}
 	return t.horizon.age
--- a/route/placed_test.go
+++ b/route/placed_test.go
@@ -107,7 +107,7 @@
 	require.Nil(t, f.place(second))
 	f.now = f.now.Add(told[0].Fills[0].Left + time.Millisecond)
 	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.Tick(f.now)))
-	f.b.Peers(f.now, nil, 1)
+	f.b.MergePeers(f.now, nil, 1)
 	require.Empty(t, f.b.pendingFills, "what is over is forgotten")
 }
 
--- a/route/recent_test.go
+++ b/route/recent_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRecently checks that a request of a peer counts at its target from when it is
+// TestPeerSends checks that a request of a peer counts at its target from when it is
 // told of, less what the target has read since, and not for longer than until loads
 // that relays tell have it.
-func TestRecently(t *testing.T) {
+func TestPeerSends(t *testing.T) {
 	f := newPartsBoard(t, 2)
 	busy, other := f.b.targets[testAddr(0)], f.b.targets[testAddr(1)]
-	f.b.Recently(f.now, []Recent{{busy.mark().Number(), 10_000}, {12345, 10_000}})
+	f.b.AddPeerSends(f.now, []SentRequest{{busy.key().Hash(), 10_000}, {12345, 10_000}})
 	require.Equal(t, 200*time.Millisecond, busy.queueWait(f.now))
 	require.Zero(t, other.queueWait(f.now))
 	f.now = f.now.Add(100 * time.Millisecond)
-	f.b.Recently(f.now, []Recent{{busy.mark().Number(), 5000}})
+	f.b.AddPeerSends(f.now, []SentRequest{{busy.key().Hash(), 5000}})
 	require.InDelta(t, 200*time.Millisecond, busy.queueWait(f.now), float64(time.Millisecond))
-	require.Zero(t, busy.queueWait(f.now.Add(recentTime+time.Millisecond)))
+	require.Zero(t, busy.queueWait(f.now.Add(peerSendTTL+time.Millisecond)))
 }
 
 // TestHolders checks that a router which asks another who holds the shared parts of
--- a/route/retry_restart_test.go
+++ b/route/retry_restart_test.go
@@ -99,7 +99,7 @@
 				continue
 			}
 			if w.now.Sub(w.upAt[i]) >= 5*retryStep {
-				b.Peers(w.now, nil, w.visiblePeers(i))
+				b.MergePeers(w.now, nil, w.visiblePeers(i))
 			}
 			if len(w.first)%int(time.Second/retryStep/retryRate) == i {
 				b.earnRetry(w.now, &b.pools["s"].retries)
--- a/route/rollout.go
+++ b/route/rollout.go
@@ -91,11 +91,11 @@
 	movedAt time.Time
 	// sent counts what this router sent to the pool since the order, tried what of it went
 	// to the new release before it was found good.
-	sent, tried int
-	own, peers  RolloutCounts
-	peersMoved  int
-	judge       rolloutJudge
-	usual       usualTime
+	sent, exposed int
+	own, peers    RolloutCounts
+	peersMoved    int
+	detector      regressionDetector
+	baseline      latencyBaseline
 }
 
 // defaultExposure is the share of a pool's requests that a release on trial may get where
@@ -124,7 +124,7 @@
 		old.order = o
 		return
 	}
-	b.rollouts[o.Pool] = &rollout{order: o, begun: now, judge: newRolloutJudge()}
+	b.rollouts[o.Pool] = &rollout{order: o, begun: now, detector: newRegressionDetector()}
 	b.noteRollout(b.rollouts[o.Pool], "ordered")
 }
 
@@ -195,7 +195,7 @@
 		}
 		b.SetRollout(now, u.Order, u.Phase, "another router's phase")
 		ro.peers, ro.peersMoved = u.Counts, u.Moved
-		ro.judge.observe(ro.own.plus(ro.peers))
+		ro.detector.observe(ro.own.plus(ro.peers))
 	}
 }
 
@@ -205,11 +205,11 @@
 // routers were not heard to have moved, and after how much one of which too little is known is
 // rolled back.
 const (
-	trialPart    = 0.45
-	rampPart     = 0.2
-	fullPart     = 0.12
-	completePart = 0.9
-	unknownPart  = 0.8
+	trialPart     = 0.45
+	rampPart      = 0.2
+	fullLoadPart  = 0.12
+	completePart  = 0.9
+	undecidedPart = 0.8
 )
 
 // part returns a part of the roll-out's duration.
@@ -234,13 +234,13 @@
 	switch ro.phase {
 	case RolloutTrial, RolloutMoving:
 		switch {
-		case ro.judge.bad():
-			return o, RolloutRolledBack, ro.judge.String()
-		case ro.phase == RolloutTrial && age(trialPart) && ro.judge.sound():
-			return o, RolloutMoving, ro.judge.String()
-		case ro.phase == RolloutTrial && age(unknownPart):
-			return o, RolloutRolledBack, "too little is known of it: " + ro.judge.String()
-		case ro.phase == RolloutMoving && now.Sub(ro.movedAt) >= ro.part(rampPart+fullPart) && b.hasMoved(now, ro) && 1+ro.peersMoved >= b.limitSharers.value:
+		case ro.detector.regressed():
+			return o, RolloutRolledBack, ro.detector.String()
+		case ro.phase == RolloutTrial && age(trialPart) && ro.detector.passed():
+			return o, RolloutMoving, ro.detector.String()
+		case ro.phase == RolloutTrial && age(undecidedPart):
+			return o, RolloutRolledBack, "too little is known of it: " + ro.detector.String()
+		case ro.phase == RolloutMoving && now.Sub(ro.movedAt) >= ro.part(rampPart+fullLoadPart) && b.hasMoved(now, ro) && 1+ro.peersMoved >= b.limitSharers.value:
 			return o, RolloutCompleted, "all routers have moved"
 		case ro.phase == RolloutMoving && age(completePart):
 			return o, RolloutCompleted, "its time is nearly over"
@@ -275,7 +275,7 @@
 		return b.trialSides(ro, r)
 	case RolloutMoving:
 		switch ramp := ro.ramp(now); {
-		case ro.judge.bad():
+		case ro.detector.regressed():
 			return oldSide
 		case ramp >= 1:
 			return newSide
@@ -300,7 +300,7 @@
 // trialSides returns the sides that a request tries while a release is on trial: the new one
 // where its share has room, and never for a second try.
 func (b *Board) trialSides(ro *rollout, r *request) []releaseSide {
-	if !ro.judge.bad() && len(r.tried) == 0 && float64(ro.tried+1) <= b.exposure*float64(ro.sent+1) {
+	if !ro.detector.regressed() && len(r.tried) == 0 && float64(ro.exposed+1) <= b.exposure*float64(ro.sent+1) {
 		return exposedSides
 	}
 	return oldSide
@@ -315,12 +315,12 @@
 	knownSide    = []releaseSide{knownRelease}
 )
 
-// releaseSettles is how long a release that a pool did not have before gets no requests while
+// releaseSettleTime is how long a release that a pool did not have before gets no requests while
 // another can serve them: the order that it is for may reach routers after the list does.
-const releaseSettles = 1500 * time.Millisecond
+const releaseSettleTime = 1500 * time.Millisecond
 
-// noteReleases notes the releases of the pools' targets. Those of a pool's first list are as good as each other.
-func (b *Board) noteReleases(now time.Time) {
+// trackReleases notes the releases of the pools' targets. Those of a pool's first list are as good as each other.
+func (b *Board) trackReleases(now time.Time) {
 	for _, p := range b.pools {
 		first := len(p.releases) == 0
 		for _, t := range p.members {
@@ -329,7 +329,7 @@
 			}
 			p.releases[t.release] = true
 			if !first {
-				p.newest, p.newestFrom = t.release, now.Add(releaseSettles)
+				p.newest, p.newestFrom = t.release, now.Add(releaseSettleTime)
 			}
 		}
 	}
@@ -380,8 +380,8 @@
 	return !b.pools[ro.order.Pool].hasUsable(func(o *target) bool { return o.release == ro.order.Release && chosen(o) })
 }
 
-// ofSide returns the servers on a request's side.
-func (b *Board) ofSide(now time.Time, p *pool, r *request, list []server) []server {
+// filterSide returns the servers on a request's side.
+func (b *Board) filterSide(now time.Time, p *pool, r *request, list []server) []server {
 	if r.side == anyRelease {
 		return list
 	}
@@ -402,12 +402,12 @@
 	}
 	ro.sent++
 	if t.release == ro.order.Release {
-		ro.tried++
+		ro.exposed++
 	}
 }
 
-// judgeRelease counts the end of an attempt, which failed or not, for or against its target's release.
-func (b *Board) judgeRelease(now time.Time, r *request, a *attempt, failed bool) {
+// recordReleaseResult counts the end of an attempt, which failed or not, for or against its target's release.
+func (b *Board) recordReleaseResult(now time.Time, r *request, a *attempt, failed bool) {
 	ro, ok := b.rollouts[r.Pool]
 	if !ok || ro.phase.Ended() || a.cancelled || now.Before(a.target.reported.Add(a.target.report.Cold)) {
 		return
@@ -422,7 +422,7 @@
 	}
 	factor := float64(took) / float64(least)
 	counted := Tally{Answers: 1}
-	if failed || ro.usual.slow(factor) {
+	if failed || ro.baseline.slow(factor) {
 		counted.Bad = 1
 	}
 	if a.target.release == ro.order.Release {
@@ -430,8 +430,8 @@
 	} else {
 		ro.own.Old = ro.own.Old.plus(counted)
 		if !failed {
-			ro.usual.add(factor)
+			ro.baseline.add(factor)
 		}
 	}
-	ro.judge.observe(ro.own.plus(ro.peers))
+	ro.detector.observe(ro.own.plus(ro.peers))
 }
--- a/route/rollout_judge.go
+++ b/route/rollout_judge.go
@@ -22,76 +22,76 @@
 	return RolloutCounts{c.New.minus(o.New), c.Old.minus(o.Old)}
 }
 
-// rolloutJudge compares a new release with the old one by Page's cumulative sum of log
+// regressionDetector compares a new release with the old one by Page's cumulative sum of log
 // likelihood ratios: of the rate of bad answers that the old release has against one that is
-// higher by worseBy. It is never below zero, so that a release that turns bad after
+// higher by detectableIncrease. It is never below zero, so that a release that turns bad after
 // thousands of good answers is found as soon as one that was bad from the beginning.
-type rolloutJudge struct {
+type regressionDetector struct {
 	score float64
 	last  RolloutCounts
 }
 
 // The judge's test. A release with the old one's rate passes alarmScore by chance about
 // once in e^alarmScore answers. priorBad of priorAnswers keep the old rate off zero while it
-// has few answers, and leastAnswers are what a release must have given to be sound.
+// has few answers, and minAnswers are what a release must have given to be sound.
 const (
-	worseBy      = 0.1
-	alarmScore   = 14
-	soundScore   = alarmScore / 4.0
-	leastAnswers = 40
-	priorBad     = 0.6
-	priorAnswers = 20
+	detectableIncrease = 0.1
+	alarmScore         = 14
+	soundScore         = alarmScore / 4.0
+	minAnswers         = 40
+	priorBad           = 0.6
+	priorAnswers       = 20
 )
 
-func newRolloutJudge() rolloutJudge { return rolloutJudge{} }
+func newRegressionDetector() regressionDetector { return regressionDetector{} }
 
 // observe takes the sums of all routers. Where they fell, a router that had counted is not
 // known any more; counting goes on from the lower sums.
-func (j *rolloutJudge) observe(c RolloutCounts) {
+func (j *regressionDetector) observe(c RolloutCounts) {
 	d := c.minus(j.last)
 	j.last = c
 	if d.New.Answers < 0 || d.New.Bad < 0 || d.Old.Answers < 0 || d.Old.Bad < 0 {
 		return
 	}
 	usual := min(0.8, (float64(c.Old.Bad)+priorBad)/(float64(c.Old.Answers)+priorAnswers))
-	worse := usual + worseBy
+	worse := usual + detectableIncrease
 	good := d.New.Answers - d.New.Bad
 	j.score += float64(d.New.Bad)*math.Log(worse/usual) + float64(good)*math.Log((1-worse)/(1-usual))
 	j.score = max(0, j.score)
 }
 
-// bad reports whether the new release is worse than the old one.
-func (j *rolloutJudge) bad() bool { return j.score >= alarmScore }
+// regressed reports whether the new release is worse than the old one.
+func (j *regressionDetector) regressed() bool { return j.score >= alarmScore }
 
-// sound reports whether enough is known of the new release, and nothing speaks against it.
-func (j *rolloutJudge) sound() bool {
-	return j.last.New.Answers >= leastAnswers && j.score < soundScore
+// passed reports whether enough is known of the new release, and nothing speaks against it.
+func (j *regressionDetector) passed() bool {
+	return j.last.New.Answers >= minAnswers && j.score < soundScore
 }
 
 // String tells what the judgement rests on.
-func (j *rolloutJudge) String() string {
+func (j *regressionDetector) String() string {
 	return fmt.Sprintf("%d of %d answers of the new release bad, %d of %d of the old, score %.1f of %d",
 		j.last.New.Bad, j.last.New.Answers, j.last.Old.Bad, j.last.Old.Answers, j.score, alarmScore)
 }
 
-// usualTime is how many times the least possible time an answer of the old release takes.
-type usualTime struct {
+// latencyBaseline is how many times the least possible time an answer of the old release takes.
+type latencyBaseline struct {
 	mean    float64
 	answers int
 }
 
-// An answer is slow from slowFactor times the usual on, once usualAnswers were seen.
+// An answer is slow from slowFactor times the usual on, once minBaselineAnswers were seen.
 const (
-	slowFactor   = 3
-	usualAnswers = 20
-	usualPart    = 0.05
+	slowFactor         = 3
+	minBaselineAnswers = 20
+	baselineWeight     = 0.05
 )
 
-func (u *usualTime) slow(factor float64) bool {
-	return u.answers >= usualAnswers && factor > slowFactor*u.mean
+func (u *latencyBaseline) slow(factor float64) bool {
+	return u.answers >= minBaselineAnswers && factor > slowFactor*u.mean
 }
 
-func (u *usualTime) add(factor float64) {
+func (u *latencyBaseline) add(factor float64) {
 	u.answers++
-	u.mean += (factor - u.mean) * max(usualPart, 1/float64(u.answers))
+	u.mean += (factor - u.mean) * max(baselineWeight, 1/float64(u.answers))
 }
--- a/route/rollout_test.go
+++ b/route/rollout_test.go
@@ -96,17 +96,17 @@
 // list gives a router the list, on which the new targets stand once they are ordered.
 func (f *rolloutFleet) list(i int) {
 	b := f.boards[i]
-	var seen []Seen
+	var seen []ListedTarget
 	for k := range f.targets {
 		release := oldRel
 		if f.isNew(k) {
 			release = newRel
 		}
 		if !f.isNew(k) || !f.ordered.IsZero() {
-			seen = append(seen, Seen{Addr: testAddr(k), Labels: map[string]string{"s": "s"}, Release: release})
+			seen = append(seen, ListedTarget{Addr: testAddr(k), Labels: map[string]string{"s": "s"}, Release: release})
 		}
 	}
-	f.take(i, b.Targets(f.now, seen))
+	f.take(i, b.SetTargets(f.now, seen))
 	for _, s := range seen {
 		f.take(i, b.Report(f.now, s.Addr, Report{Incarnation: "i", Slots: 400}))
 	}
@@ -174,7 +174,7 @@
 	side := 0
 	if f.isNew(target) {
 		side = 1
-		if f.faulty(target) {
+		if f.isFaulty(target) {
 			switch {
 			case f.fault.slow > 0:
 				took, answer.bad = time.Duration(float64(took)*f.fault.slow), true
@@ -190,8 +190,8 @@
 	f.flying = append(f.flying, answer)
 }
 
-// faulty reports whether the new release's fault shows in a request at a target now.
-func (f *rolloutFleet) faulty(target int) bool {
+// isFaulty reports whether the new release's fault shows in a request at a target now.
+func (f *rolloutFleet) isFaulty(target int) bool {
 	switch {
 	case f.now.Sub(f.ordered) < f.fault.from, f.running[target] < f.fault.load:
 		return false
@@ -230,9 +230,9 @@
 		}
 		heard := make(map[string]PeerState)
 		if len(others) > 0 {
-			heard["others"] = Join(others)
+			heard["others"] = JoinStates(others)
 		}
-		b.Peers(f.now, heard, len(f.boards))
+		b.MergePeers(f.now, heard, len(f.boards))
 	}
 }
 
@@ -252,7 +252,7 @@
 // check holds the fleet to the bounds of a bad release.
 func (f *rolloutFleet) checkBad() {
 	b := f.boards[0]
-	require.Equal(f.t, RolloutRolledBack, f.phase, b.rollouts["s"].judge.String())
+	require.Equal(f.t, RolloutRolledBack, f.phase, b.rollouts["s"].detector.String())
 	most := exposureShare*float64(len(f.sent[0])+len(f.sent[1])) + exposureSlack
 	require.LessOrEqual(f.t, float64(len(f.sent[1])), most, "requests that the bad release got")
 	if len(f.bad) >= rollbackAfter && len(f.sent[1]) > 0 {
@@ -301,7 +301,7 @@
 				f.play(3*time.Second, 400, 0)
 				f.begin(0)
 				f.play(rolloutTime, 400, 0)
-				require.Equal(t, RolloutCompleted, f.phase, "seed %d: %s", seed+1, f.boards[0].rollouts["s"].judge.String())
+				require.Equal(t, RolloutCompleted, f.phase, "seed %d: %s", seed+1, f.boards[0].rollouts["s"].detector.String())
 				require.Less(t, f.ended.Sub(f.ordered), rolloutTime)
 				last := f.sent[0][len(f.sent[0])-1]
 				require.Less(t, last, f.ended, "the last request to the old release")
@@ -347,11 +347,11 @@
 	require.Empty(t, f.sent[1], "the same order, from a store that came back from an older copy")
 
 	f = newRolloutFleet(t, 1, 1, releaseFault{})
-	var seen []Seen
+	var seen []ListedTarget
 	for k := f.targets / 2; k < f.targets; k++ {
-		seen = append(seen, Seen{Addr: testAddr(k), Labels: map[string]string{"s": "s"}, Release: newRel})
+		seen = append(seen, ListedTarget{Addr: testAddr(k), Labels: map[string]string{"s": "s"}, Release: newRel})
 	}
-	f.boards[0].Targets(f.now, seen)
+	f.boards[0].SetTargets(f.now, seen)
 	for _, s := range seen {
 		f.boards[0].Report(f.now, s.Addr, Report{Incarnation: "i", Slots: 400})
 	}
@@ -402,7 +402,7 @@
 }
 
 // Of a thousand good releases none is rolled back, at any usual rate of bad answers.
-func TestRolloutJudgeFalseAlarms(t *testing.T) {
+func TestRegressionDetectorFalseAlarms(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 3))
 	answers := func(n int, rate float64) (out Tally) {
@@ -417,16 +417,16 @@
 	alarms, unsound := 0, 0
 	for run := range 1000 {
 		rate := []float64{0, 0.01, 0.05, 0.14, 0.3}[run%5]
-		j := newRolloutJudge()
+		j := newRegressionDetector()
 		var sum RolloutCounts
 		for range 48 {
 			sum = sum.plus(RolloutCounts{New: answers(10, rate), Old: answers(90, rate)})
 			j.observe(sum)
 		}
-		if j.bad() {
+		if j.regressed() {
 			alarms++
 		}
-		if !j.sound() {
+		if !j.passed() {
 			unsound++
 		}
 	}
--- a/route/said.go
+++ b/route/said.go
@@ -7,98 +7,98 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// Said is what an answer says of the target that gave it.
-type Said struct {
+// TargetHints is what an answer says of the target that gave it.
+type TargetHints struct {
 	// Leaving says that the target leaves.
 	Leaving bool
-	Limit   SaidLimit
+	Limit   LimitHint
 	// Rest is for how long the target, which turned a request away, wants none of this router.
-	Rest time.Duration
+	Backoff time.Duration
 }
 
-// SaidLimit is an answer's word on how many requests a second its target takes from all
+// LimitHint is an answer's word on how many requests a second its target takes from all
 // routers together. The zero one says that it names no limit.
-type SaidLimit struct {
+type LimitHint struct {
 	Named     bool
 	PerSecond float64
 	// Unread says that the word has no meaning, so that what was known before stands.
-	Unread bool
+	Invalid bool
 }
 
-// Said takes what an answer to a request that was sent at a time says of its target. It is
+// ApplyHints takes what an answer to a request that was sent at a time says of its target. It is
 // believed of the incarnation that answered, and ends with it.
-func (b *Board) Said(now time.Time, m Mark, sent time.Time, s Said) {
+func (b *Board) ApplyHints(now time.Time, m TargetKey, sent time.Time, s TargetHints) {
 	if s.Leaving {
 		b.marks[m] = true
 	}
 	if t, ok := b.targets[m.Target]; ok && m.Incarnation.Same(t.incarnation) {
 		if s.Leaving {
 			// The target knows it before the list does, which may be away or behind.
-			b.markLeaving(t, "its own answer")
+			b.setDraining(t, "its own answer")
 		}
-		b.saidLimit(now, t, sent, s.Limit)
-		b.saidRest(now, t, s.Rest)
+		b.applyLimitHint(now, t, sent, s.Limit)
+		b.applyBackoff(now, t, s.Backoff)
 	}
 }
 
-// unlistedWords are what an incarnation said of itself that left the list.
-type unlistedWords struct {
-	incarnation Incarnation
-	limit       targetLimit
-	restsTo     time.Time
+// unlistedHints are what an incarnation said of itself that left the list.
+type unlistedHints struct {
+	incarnation  Incarnation
+	limit        targetLimit
+	backoffUntil time.Time
 }
 
-// keepWords keeps a target's words as it leaves the list: an entry also goes while the store is away.
-func (b *Board) keepWords(t *target) {
-	if t.limit.seq > 0 || !t.restsTo.IsZero() {
-		b.unlisted[t.addr] = unlistedWords{t.incarnation, t.limit, t.restsTo}
+// retainHints keeps a target's words as it leaves the list: an entry also goes while the store is away.
+func (b *Board) retainHints(t *target) {
+	if t.limit.seq > 0 || !t.backoffUntil.IsZero() {
+		b.unlisted[t.addr] = unlistedHints{t.incarnation, t.limit, t.backoffUntil}
 	}
 }
 
-// takeWordsUp gives a target that is listed again what it had said, unless another has its address.
-func (b *Board) takeWordsUp(t *target) {
+// restoreHints gives a target that is listed again what it had said, unless another has its address.
+func (b *Board) restoreHints(t *target) {
 	if w, ok := b.unlisted[t.addr]; ok && w.incarnation.Same(t.incarnation) {
-		t.limit, t.restsTo = w.limit, w.restsTo
+		t.limit, t.backoffUntil = w.limit, w.backoffUntil
 	}
 	delete(b.unlisted, t.addr)
 }
 
-// saidRest takes a target's word that it wants no requests of this router for a time. A price
+// applyBackoff takes a target's word that it wants no requests of this router for a time. A price
 // would not do: where the others of its pool fail, it is soon the cheapest again.
-func (b *Board) saidRest(now time.Time, t *target, rest time.Duration) {
+func (b *Board) applyBackoff(now time.Time, t *target, rest time.Duration) {
 	until := now.Add(rest)
-	if rest <= 0 || !until.After(t.restsTo) {
+	if rest <= 0 || !until.After(t.backoffUntil) {
 		return
 	}
-	if !t.rests(now) {
+	if !t.backingOff(now) {
 		b.emit(event.Event{Code: event.TargetRests, Target: t.name(), Detail: "for " + rest.String()})
 	}
-	t.restsTo = until
-	if until.After(b.restsTo) {
-		b.restsTo = until
+	t.backoffUntil = until
+	if until.After(b.backoffUntil) {
+		b.backoffUntil = until
 	}
 }
 
-// rests reports whether the target wants no requests of this router now.
-func (t *target) rests(now time.Time) bool { return now.Before(t.restsTo) }
+// backingOff reports whether the target wants no requests of this router now.
+func (t *target) backingOff(now time.Time) bool { return now.Before(t.backoffUntil) }
 
-// awake returns the servers that do not rest.
-func (b *Board) awake(now time.Time, list []server) []server {
-	if !now.Before(b.restsTo) {
+// withoutBackoff returns the servers that do not rest.
+func (b *Board) withoutBackoff(now time.Time, list []server) []server {
+	if !now.Before(b.backoffUntil) {
 		return list
 	}
 	var out []server
 	for _, s := range list {
-		if !s.target.rests(now) {
+		if !s.target.backingOff(now) {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// restOver is how long it takes until a target of the pool takes requests again, zero if one does.
-func (b *Board) restOver(now time.Time, p *pool) time.Duration {
-	if !now.Before(b.restsTo) {
+// backoffRemaining is how long it takes until a target of the pool takes requests again, zero if one does.
+func (b *Board) backoffRemaining(now time.Time, p *pool) time.Duration {
+	if !now.Before(b.backoffUntil) {
 		return 0
 	}
 	least := time.Duration(0)
@@ -106,7 +106,7 @@
 		if !t.usable() {
 			continue
 		}
-		left := t.restsTo.Sub(now)
+		left := t.backoffUntil.Sub(now)
 		if left <= 0 {
 			return 0
 		}
@@ -117,9 +117,9 @@
 	return least
 }
 
-// restRefusal refuses a request at once that no target of its pool takes before its time is over.
-func (b *Board) restRefusal(now time.Time, p *pool, r *request) *Refusal {
-	over := b.restOver(now, p)
+// backoffRefusal refuses a request at once that no target of its pool takes before its time is over.
+func (b *Board) backoffRefusal(now time.Time, p *pool, r *request) *Refusal {
+	over := b.backoffRemaining(now, p)
 	if over <= b.maxQueueTime(r) {
 		return nil
 	}
@@ -129,12 +129,12 @@
 	}
 }
 
-// noRoom says why a request found no target, and how many of them keep others out by their own word.
-func (p *pool) noRoom(now time.Time) string {
+// noTargetReason says why a request found no target, and how many of them keep others out by their own word.
+func (p *pool) noTargetReason(now time.Time) string {
 	limits, rest := 0, 0
 	for _, t := range p.members {
 		switch {
-		case t.rests(now):
+		case t.backingOff(now):
 			rest++
 		case t.limit.named:
 			limits++
--- a/route/shared.go
+++ b/route/shared.go
@@ -17,15 +17,15 @@
 	ids *generationalMap[partID, sharedPart]
 	// fresh are those that this router saw first itself or tells for another, in the
 	// order in which it did; dropped is how many came before them.
-	fresh   []freshPart
+	recent  []recentPart
 	dropped int64
 	feed    *Feed[heldPart, int]
 	// counted are the keys of shared parts that some target was said to hold.
 	counted map[partKey]bool
 }
 
-// freshPart is a part that was seen to be shared at a time.
-type freshPart struct {
+// recentPart is a part that was seen to be shared at a time.
+type recentPart struct {
 	id partID
 	at time.Time
 }
@@ -33,7 +33,7 @@
 // partID names a part under whatever salt.
 type partID uint64
 
-func idOfPart(id string) partID { return partID(xxh3.HashString(id)) }
+func hashPartID(id string) partID { return partID(xxh3.HashString(id)) }
 
 // sharedPart is what is known of the parts of one id.
 type sharedPart struct {
@@ -53,12 +53,12 @@
 // told of for so long, in which all peers hear of them; in a large one, so many with
 // each report, some 5 KB.
 const (
-	sharedKept  = 1 << 14
-	keysKept    = 32
-	freshKept   = 1 << 12
-	maxFresh    = 64
-	freshTold   = 2 * time.Second
-	maxReported = 512
+	sharedKept        = 1 << 14
+	keysKept          = 32
+	maxRecentParts    = 1 << 12
+	maxSharedPerState = 64
+	sharedTellTime    = 2 * time.Second
+	maxReported       = 512
 )
 
 func newSharedParts() sharedParts {
@@ -73,9 +73,9 @@
 // has reports whether a part was counted as shared.
 func (s *sharedParts) has(key partKey) bool { return s.counted[key] }
 
-// named notes that an event named a part, and reports whether the part is shared.
-func (s *sharedParts) named(id string, key partKey) bool {
-	p := s.ids.getOrCreate(idOfPart(id))
+// recordKey notes that an event named a part, and reports whether the part is shared.
+func (s *sharedParts) recordKey(id string, key partKey) bool {
+	p := s.ids.getOrCreate(hashPartID(id))
 	if !slices.Contains(p.keys, key) {
 		p.keys = append(p.keys, key)
 		p.keys = p.keys[max(0, len(p.keys)-keysKept):]
@@ -86,8 +86,8 @@
 	return p.shared
 }
 
-// held tells what a target holds of a shared part.
-func (s *sharedParts) held(t *target, key partKey, tokens int) {
+// recordHolder tells what a target holds of a shared part.
+func (s *sharedParts) recordHolder(t *target, key partKey, tokens int) {
 	if tokens > 0 {
 		s.feed.Set(heldPart{t.addr, key}, tokens)
 		return
@@ -95,45 +95,45 @@
 	s.feed.Drop(heldPart{t.addr, key})
 }
 
-// share notes that parts of an id are shared, and who holds them. It reports
+// markPartShared notes that parts of an id are shared, and who holds them. It reports
 // whether that is new.
-func (b *Board) share(id partID) bool {
+func (b *Board) markPartShared(id partID) bool {
 	p := b.shared.ids.getOrCreate(id)
 	if p.shared {
 		return false
 	}
 	p.shared = true
 	for _, key := range p.keys {
-		b.markShared(key)
+		b.markKeyShared(key)
 		for _, t := range b.partHolders[key] {
-			b.shared.held(t, key, t.parts.tokens[key])
+			b.shared.recordHolder(t, key, t.parts.tokens[key])
 		}
 	}
 	return true
 }
 
-// markShared counts a key as that of a shared part, if it is not yet.
-func (b *Board) markShared(key partKey) {
+// markKeyShared counts a key as that of a shared part, if it is not yet.
+func (b *Board) markKeyShared(key partKey) {
 	if !b.shared.has(key) {
 		b.shared.counted[key] = true
 		b.adjustSoleTokens(key, 1)
 	}
 }
 
-// countShared notes the shared parts of a prompt.
-func (b *Board) countShared(now time.Time, r *request) {
+// recordSharedParts notes the shared parts of a prompt.
+func (b *Board) recordSharedParts(now time.Time, r *request) {
 	for _, part := range r.Parts[:max(0, len(r.Parts)-1)] {
-		if id := idOfPart(part.ID); b.share(id) {
-			b.shared.note(now, id)
+		if id := hashPartID(part.ID); b.markPartShared(id) {
+			b.shared.queueForPeers(now, id)
 		}
 	}
 }
 
-// note has peers told of a part.
-func (s *sharedParts) note(now time.Time, id partID) {
-	s.fresh = append(s.fresh, freshPart{id, now})
-	if old := len(s.fresh) - freshKept; old > 0 {
-		s.fresh = s.fresh[old:]
+// queueForPeers has peers told of a part.
+func (s *sharedParts) queueForPeers(now time.Time, id partID) {
+	s.recent = append(s.recent, recentPart{id, now})
+	if old := len(s.recent) - maxRecentParts; old > 0 {
+		s.recent = s.recent[old:]
 		s.dropped += int64(old)
 	}
 }
@@ -146,9 +146,9 @@
 // and second.
 func (b *Board) SharedSince(after int64) (ids []uint64, next int64) {
 	s := &b.shared
-	from := min(max(0, after-s.dropped), int64(len(s.fresh)))
-	to := min(from+maxReported, int64(len(s.fresh)))
-	for _, f := range s.fresh[from:to] {
+	from := min(max(0, after-s.dropped), int64(len(s.recent)))
+	to := min(from+maxReported, int64(len(s.recent)))
+	for _, f := range s.recent[from:to] {
 		ids = append(ids, uint64(f.id))
 	}
 	return ids, s.dropped + to
@@ -158,17 +158,17 @@
 // that this one is to tell of them in its turn.
 func (b *Board) TakeShared(now time.Time, ids []uint64, onward bool) {
 	for _, id := range ids {
-		if b.share(partID(id)) && onward {
-			b.shared.note(now, partID(id))
+		if b.markPartShared(partID(id)) && onward {
+			b.shared.queueForPeers(now, partID(id))
 		}
 	}
 }
 
-// told returns the hashed ids of the shared parts that peers may not know yet.
-func (s *sharedParts) told(now time.Time) []uint64 {
+// recentIDs returns the hashed ids of the shared parts that peers may not know yet.
+func (s *sharedParts) recentIDs(now time.Time) []uint64 {
 	var out []uint64
-	for _, f := range s.fresh[max(0, len(s.fresh)-maxFresh):] {
-		if now.Sub(f.at) <= freshTold {
+	for _, f := range s.recent[max(0, len(s.recent)-maxSharedPerState):] {
+		if now.Sub(f.at) <= sharedTellTime {
 			out = append(out, uint64(f.id))
 		}
 	}
@@ -179,13 +179,13 @@
 func (b *Board) mergeShared(states map[string]PeerState) {
 	for _, s := range states {
 		for _, id := range s.Shared {
-			b.share(partID(id))
+			b.markPartShared(partID(id))
 		}
 	}
 }
 
-// PartsNews is what changed of the shared parts that targets hold.
-type PartsNews struct {
+// PartsUpdate is what changed of the shared parts that targets hold.
+type PartsUpdate struct {
 	// Next is the version to ask for next.
 	Next int64
 	// Full says that the news replaces everything told before.
@@ -197,15 +197,15 @@
 
 // TargetParts is what changed at one target: keys of parts, and for each the tokens held now.
 type TargetParts struct {
-	Target Mark
+	Target TargetKey
 	Keys   []uint64
 	Tokens []int
 }
 
 // PartsSince tells what changed after a version of what was told before.
-func (b *Board) PartsSince(now time.Time, after int64) PartsNews {
+func (b *Board) PartsSince(now time.Time, after int64) PartsUpdate {
 	changes, full := b.shared.feed.Since(after)
-	out := PartsNews{Next: b.shared.feed.Version(), Full: full}
+	out := PartsUpdate{Next: b.shared.feed.Version(), Full: full}
 	byTarget := make(map[netip.AddrPort]*TargetParts)
 	for _, c := range changes {
 		t, ok := b.targets[c.Key.target]
@@ -214,7 +214,7 @@
 		}
 		told := byTarget[t.addr]
 		if told == nil {
-			told = &TargetParts{Target: t.mark()}
+			told = &TargetParts{Target: t.key()}
 			byTarget[t.addr] = told
 		}
 		told.Keys = append(told.Keys, uint64(c.Key.key))
@@ -224,7 +224,7 @@
 		out.Targets = append(out.Targets, *told)
 	}
 	for _, t := range b.targets {
-		if !t.parts.known(now) && b.followed(t) {
+		if !t.parts.known(now) && b.readsCacheEvents(t) {
 			out.Unread = append(out.Unread, t.addr)
 		}
 	}
@@ -232,7 +232,7 @@
 }
 
 // TakeParts takes the news of another router that reads the targets' events.
-func (b *Board) TakeParts(now time.Time, news PartsNews) {
+func (b *Board) TakeParts(now time.Time, news PartsUpdate) {
 	if b.disabled.Has(CacheEvents) {
 		return
 	}
@@ -241,7 +241,7 @@
 		unread[addr] = true
 	}
 	for addr, t := range b.targets {
-		if !b.followed(t) {
+		if !b.readsCacheEvents(t) {
 			continue
 		}
 		if unread[addr] || news.Full {
@@ -256,19 +256,19 @@
 		t.parts.at, t.parts.relayed = now, true
 	}
 	for _, told := range news.Targets {
-		t, ok := b.marked(told.Target)
+		t, ok := b.targetByKey(told.Target)
 		if !ok || t.parts.tokens == nil || len(told.Keys) != len(told.Tokens) {
 			continue
 		}
 		for i, key := range told.Keys {
-			b.takePart(t, partKey(key), told.Tokens[i])
+			b.applyPart(t, partKey(key), told.Tokens[i])
 		}
 	}
 }
 
-// takePart notes what another router said that a target holds of a shared part.
-func (b *Board) takePart(t *target, key partKey, tokens int) {
-	b.markShared(key)
+// applyPart notes what another router said that a target holds of a shared part.
+func (b *Board) applyPart(t *target, key partKey, tokens int) {
+	b.markKeyShared(key)
 	b.setPart(t, key, tokens, true)
-	b.shared.held(t, key, tokens)
+	b.shared.recordHolder(t, key, tokens)
 }
--- a/route/shared_test.go
+++ b/route/shared_test.go
@@ -21,11 +21,11 @@
 	other.finish(other.place(r))
 	told := other.b.State(other.now)
 	require.Len(t, told.Shared, len(shared))
-	require.Empty(t, other.b.State(other.now.Add(2*freshTold)).Shared, "all have heard of it")
+	require.Empty(t, other.b.State(other.now.Add(2*sharedTellTime)).Shared, "all have heard of it")
 
 	news := reader.b.PartsSince(reader.now, 0)
 	require.Empty(t, news.Targets, "nobody said that these are shared")
-	reader.b.Peers(reader.now, map[string]PeerState{"other": told}, 2)
+	reader.b.MergePeers(reader.now, map[string]PeerState{"other": told}, 2)
 	news = reader.b.PartsSince(reader.now, news.Next)
 	require.Len(t, news.Targets, 1)
 	require.Len(t, news.Targets[0].Keys, len(shared))
@@ -48,13 +48,13 @@
 
 // Joined states say what the single ones say together.
 func TestJoin(t *testing.T) {
-	m := Mark{testAddr(1), "x"}
-	joined := Join([]PeerState{
+	m := TargetKey{testAddr(1), "x"}
+	joined := JoinStates([]PeerState{
 		{Loads: []Load{{m, 1, 20, 300}}, Counted: 1, Demands: []Demand{{"a", 1, 0.5, 100, 50, 4, 400, 1}}, Revision: 3},
-		{Speaks: 4, Loads: []Load{{m, 2, 30, 400}}, Counted: 3, Demands: []Demand{{"a", 2, 1.5, 300, 30, 7, 800, 3}}, Leaving: []Mark{m}, Revision: 5},
+		{Speaks: 4, Loads: []Load{{m, 2, 30, 400}}, Counted: 3, Demands: []Demand{{"a", 2, 1.5, 300, 30, 7, 800, 3}}, Leaving: []TargetKey{m}, Revision: 5},
 	})
 	require.Equal(t, PeerState{
-		Speaks: 5, Revision: 5, Loads: []Load{{m, 3, 50, 700}}, Counted: 4, Demands: []Demand{{"a", 3, 2, 400, 80, 11, 1200, 4}}, Leaving: []Mark{m},
+		Speaks: 5, Revision: 5, Loads: []Load{{m, 3, 50, 700}}, Counted: 4, Demands: []Demand{{"a", 3, 2, 400, 80, 11, 1200, 4}}, Leaving: []TargetKey{m},
 	}, joined)
 }
 
@@ -79,7 +79,7 @@
 	state := PeerState{Hot: told.report(p.now)}
 	require.Len(t, state.Hot, 1)
 	state.Hot[0].Rate = 60
-	p.b.Peers(p.now, map[string]PeerState{"peer": state}, 2)
+	p.b.MergePeers(p.now, map[string]PeerState{"peer": state}, 2)
 	require.GreaterOrEqual(t, len(placed("hot")), 3)
 	require.Len(t, placed("calm2"), 1)
 }
@@ -91,7 +91,7 @@
 	r := p.request("a", append(shared, own)...)
 	salt := r.Salt("1").String()
 	kept := append([]Part{{"k1", 9000}, {"k2", 9000}, {"k3", 9000}}, shared...)
-	p.b.Peers(p.now, map[string]PeerState{"peer": {Shared: sharedIDs(kept)}}, 2)
+	p.b.MergePeers(p.now, map[string]PeerState{"peer": {Shared: sharedIDs(kept)}}, 2)
 	p.reportParts(testAddr(0), salt, kept...)
 	p.reportParts(testAddr(1), salt)
 	require.Equal(t, 33000, p.b.targets[testAddr(0)].parts.soleTokens)
@@ -117,7 +117,7 @@
 func sharedIDs(parts []Part) []uint64 {
 	var out []uint64
 	for _, part := range parts {
-		out = append(out, uint64(idOfPart(part.ID)))
+		out = append(out, uint64(hashPartID(part.ID)))
 	}
 	return out
 }
@@ -126,9 +126,9 @@
 // life, unless it answers here; what one peer alone says is its own path's matter.
 func TestSilentByPeers(t *testing.T) {
 	p := newPartsBoard(t, 2)
-	mark := Mark{testAddr(0), "0"}
+	mark := TargetKey{testAddr(0), "0"}
 	told := func(routers int) {
-		p.b.Peers(p.now, map[string]PeerState{"others": {Speaks: 9, Silent: []SilentWord{{mark, routers}}}}, 10)
+		p.b.MergePeers(p.now, map[string]PeerState{"others": {Speaks: 9, Silent: []SilentUpdate{{mark, routers}}}}, 10)
 	}
 	usable := func() bool { return p.b.targets[testAddr(0)].usable() }
 	told(1)
@@ -142,11 +142,11 @@
 	require.True(t, usable(), "it answered here just now")
 
 	p.now = p.now.Add(time.Minute)
-	p.b.suspect(p.now, p.b.targets[testAddr(0)])
-	require.Equal(t, []SilentWord{{mark, 1}}, p.b.State(p.now).Silent)
-	p.b.suspect(p.now, p.b.targets[testAddr(1)])
+	p.b.markSilent(p.now, p.b.targets[testAddr(0)])
+	require.Equal(t, []SilentUpdate{{mark, 1}}, p.b.State(p.now).Silent)
+	p.b.markSilent(p.now, p.b.targets[testAddr(1)])
 	require.Empty(t, p.b.State(p.now).Silent, "to whom all are silent, that one's path is at fault")
-	require.Empty(t, p.b.State(p.now.Add(2*silentTold)).Silent)
+	require.Empty(t, p.b.State(p.now.Add(2*silentTellTime)).Silent)
 }
 
 // A key of a shared part is forgotten once no target holds it, however that came:
@@ -167,7 +167,7 @@
 	own, relay := NewBoard(), NewBoard()
 	const seen = maxReported + 10
 	for i := range seen {
-		own.shared.note(now, partID(i+1))
+		own.shared.queueForPeers(now, partID(i+1))
 	}
 	first, next := own.SharedSince(0)
 	require.Len(t, first, maxReported)
@@ -185,8 +185,8 @@
 	told, _ = relay.SharedSince(end)
 	require.Empty(t, told, "what another relay tells is not told again")
 
-	for i := range freshKept {
-		own.shared.note(now, partID(seen+i+1))
+	for i := range maxRecentParts {
+		own.shared.queueForPeers(now, partID(seen+i+1))
 	}
 	late, next := own.SharedSince(0)
 	require.Len(t, late, maxReported)
--- a/route/silent_test.go
+++ b/route/silent_test.go
@@ -29,8 +29,8 @@
 	a := f.place(f.request("a", own))
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Silent: true})
 	f.now = f.now.Add(time.Millisecond)
-	m := Mark{testAddr(0), "0"}
-	f.b.Peers(f.now, map[string]PeerState{"p": {Silent: []SilentWord{{m, silentRouters}}}}, 2)
+	m := TargetKey{testAddr(0), "0"}
+	f.b.MergePeers(f.now, map[string]PeerState{"p": {Silent: []SilentUpdate{{m, minSilentRouters}}}}, 2)
 	f.b.Reached(f.now, testAddr(0))
 	require.False(t, f.b.targets[testAddr(0)].usable())
 }
--- a/route/target.go
+++ b/route/target.go
@@ -27,8 +27,8 @@
 	InFlight int
 }
 
-// Seen is one line of the VM list as the board takes it.
-type Seen struct {
+// ListedTarget is one line of the VM list as the board takes it.
+type ListedTarget struct {
 	Addr    netip.AddrPort
 	Labels  map[string]string
 	Leaving bool
@@ -40,14 +40,14 @@
 
 // Entry is one entry of a list that also has what the targets report.
 type Entry struct {
-	Seen   Seen
+	Seen   ListedTarget
 	Report Report
 	// Revision grows with each sign of life of the target.
 	Revision int64
 }
 
-// Mark says that one incarnation of a target is leaving.
-type Mark struct {
+// TargetKey says that one incarnation of a target is leaving.
+type TargetKey struct {
 	Target      netip.AddrPort
 	Incarnation Incarnation
 }
@@ -77,11 +77,11 @@
 	reported    time.Time
 	// unreported says that the report is an earlier incarnation's. Its weights are the best
 	// guess of what this one has, but no bound of it.
-	unreported bool
+	reportOutdated bool
 	// stranger says that an answer named the incarnation, which has not reported
 	// itself yet: the address may be another pool's by now.
-	stranger bool
-	leaving  bool
+	unconfirmed bool
+	leaving     bool
 	// listNames says that the list tells which incarnation it means, listLeaving is its
 	// present word, markedAt when it began to say so.
 	listNames   bool
@@ -94,7 +94,7 @@
 	// silentAt when this router found that itself, answeredAt when it last got an answer.
 	suspectedAt, silentAt, answeredAt time.Time
 	// sends and misses measure the attempts that ended here and those of them that failed.
-	sends, misses meter
+	sends, failedSends meter
 	// learned is the rate of prefill seen in answers, in tokens per second; zero before the first.
 	learned  float64
 	attempts map[string]*attempt
@@ -107,13 +107,13 @@
 	horizon horizon
 	parts   heldParts
 	// guess is what the target is taken to have beside its report.
-	guess weightsGuess
+	assumed assumedWeights
 	// unused are weights of the target of which it was recorded that they are used no more.
 	unused string
 	// peers is what other routers have in flight here.
 	peerInFlight int
-	// restsTo is until when it wants no requests of this router.
-	restsTo time.Time
+	// backoffUntil is until when it wants no requests of this router.
+	backoffUntil time.Time
 	// limit is its newest word on the requests that it takes.
 	limit targetLimit
 	// usedAt is when a request last used the target, or might have.
@@ -124,7 +124,7 @@
 	peerPrefill int
 	peersAt     time.Time
 	// recent are requests that peers told of besides.
-	recent []recentSend
+	peerSends []peerSend
 	// saves bounds what this router has engines save to a store, moves what moves over
 	// the store's link, both in tokens.
 	saves, moves bucket
@@ -138,11 +138,11 @@
 	return t.addr.String()
 }
 
-// mark names the target's present incarnation.
-func (t *target) mark() Mark { return Mark{t.addr, t.incarnation} }
+// key names the target's present incarnation.
+func (t *target) key() TargetKey { return TargetKey{t.addr, t.incarnation} }
 
-// marked returns the target that has the incarnation which a mark names now.
-func (b *Board) marked(m Mark) (t *target, ok bool) {
+// targetByKey returns the target that has the incarnation which a mark names now.
+func (b *Board) targetByKey(m TargetKey) (t *target, ok bool) {
 	t, ok = b.targets[m.Target]
 	return t, ok && t.incarnation == m.Incarnation
 }
@@ -150,14 +150,14 @@
 // usable reports whether the target may get new work.
 func (t *target) usable() bool {
 	return t.listed && !t.leaving && !t.listLeaving && !t.held && !t.failing &&
-		!t.reported.IsZero() && !t.stranger
+		!t.reported.IsZero() && !t.unconfirmed
 }
 
 // serves returns the weights of a model that the target has loaded.
 func (t *target) serves(model, adapter string) (weights string, ok bool) {
 	weights, ok = t.report.Weights[model]
-	if ok && t.guess.model == model {
-		weights = t.guess.weights
+	if ok && t.assumed.model == model {
+		weights = t.assumed.weights
 	}
 	if !ok || adapter == "" {
 		return weights, ok
@@ -215,25 +215,25 @@
 		return
 	}
 	rate := float64(uncached) / took.Seconds()
-	t.learned = follow(t.learned, rate)
+	t.learned = smooth(t.learned, rate)
 	if b.disabled.Has(PoolRate) {
 		return
 	}
 	for _, p := range t.pools {
-		p.learned = follow(p.learned, rate)
+		p.learned = smooth(p.learned, rate)
 	}
 }
 
-// follow moves a learned rate towards one that was seen; the first is taken as it is.
-func follow(learned, seen float64) float64 {
+// smooth moves a learned rate towards one that was seen; the first is taken as it is.
+func smooth(learned, seen float64) float64 {
 	if learned == 0 {
 		return seen
 	}
 	return learned + learnPart*(seen-learned)
 }
 
-// Targets takes the VM list; targets that are not on it any more get no new work.
-func (b *Board) Targets(now time.Time, list []Seen) []Action {
+// SetTargets takes the VM list; targets that are not on it any more get no new work.
+func (b *Board) SetTargets(now time.Time, list []ListedTarget) []Action {
 	changed := false
 	for _, t := range b.targets {
 		t.listed = false
@@ -248,7 +248,7 @@
 		t.listed = true
 		t.listNames = s.Incarnation != ""
 		b.identify(now, t, s.Incarnation)
-		b.markListed(now, t, s.Leaving)
+		b.setListDraining(now, t, s.Leaving)
 	}
 	for addr, t := range b.targets {
 		if !t.listed && len(t.attempts) == 0 {
@@ -258,18 +258,18 @@
 	}
 	b.assignPools()
 	if changed {
-		b.noteReleases(now)
+		b.trackReleases(now)
 	}
 	return b.dispatch(now)
 }
 
 func (b *Board) addTarget(now time.Time, addr netip.AddrPort) *target {
 	t := &target{
-		addr:    addr,
-		hash:    hashAddr(addr),
-		service: defaultService,
-		sends:   newMeter(missWindow),
-		misses:  newMeter(missWindow),
+		addr:        addr,
+		hash:        hashAddr(addr),
+		service:     defaultService,
+		sends:       newMeter(failureWindow),
+		failedSends: newMeter(failureWindow),
 	}
 	b.targets[addr] = t
 	b.renewSlot(now, t)
@@ -277,7 +277,7 @@
 }
 
 func (b *Board) dropTarget(addr netip.AddrPort, t *target) {
-	b.keepWords(t)
+	b.retainHints(t)
 	b.dropParts(t)
 	delete(b.slots, t.slot)
 	delete(b.targets, addr)
@@ -299,28 +299,28 @@
 	if !ok {
 		return nil
 	}
-	b.takeReport(now, t, r)
+	b.applyReport(now, t, r)
 	return b.dispatch(now)
 }
 
-// takeReport takes what a target reports of itself.
-func (b *Board) takeReport(now time.Time, t *target, r Report) {
-	if b.staleness != nil && t.goesBack(r) {
+// applyReport takes what a target reports of itself.
+func (b *Board) applyReport(now time.Time, t *target, r Report) {
+	if b.staleness != nil && t.regresses(r) {
 		r.Weights = t.report.Weights
 	}
 	had := t.weights()
 	b.identify(now, t, r.Incarnation)
-	b.reportedWeights(now, t, r, had)
-	if t.reported.IsZero() || t.stranger || !sameAdapters(t.report.Adapters, r.Adapters) {
+	b.applyReportedWeights(now, t, r, had)
+	if t.reported.IsZero() || t.unconfirmed || !sameAdapters(t.report.Adapters, r.Adapters) {
 		b.version++
 	}
 	t.report = r
 	t.reported = now
-	t.unreported = false
-	t.stranger = false
-	b.recovered(t)
+	t.reportOutdated = false
+	t.unconfirmed = false
+	b.recordRecovery(t)
 	if r.Leaving {
-		b.markLeaving(t, "its own word")
+		b.setDraining(t, "its own word")
 	}
 }
 
