--- a/route/target_limit_fleet_test.go
+++ b/route/target_limit_fleet_test.go
@@ -13,26 +13,28 @@
 // The bound on what a target that names a limit gets: in each such window so many times what the
 // limit allows, and some more.
 const (
-	namedWindow = 4 * time.Second
-	namedTimes  = 1.5
-	namedMore   = 5
+	targetLimitWindow  = 4 * time.Second
+	targetLimitOverage = 1.5
+	namedMore          = 5
 )
 
-func namedBound(limit float64) float64 { return namedTimes*limit*namedWindow.Seconds() + namedMore }
+func targetLimitBound(limit float64) float64 {
+	return targetLimitOverage*limit*targetLimitWindow.Seconds() + namedMore
+}
 
-// namedFleet is the routers of one fleet before some targets of a service, of which the first
+// targetLimitFleet is the routers of one fleet before some targets of a service, of which the first
 // names a limit. They report four times a second and hear of the others what these said two
 // reports before, as over relays.
-type namedFleet struct {
+type targetLimitFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     time.Time
 	targets int
 	// limit is what the first target names, nil for none.
 	limit *float64
-	// namedAt is when it began to.
-	namedAt time.Time
-	boards  []*Board
+	// limitSetAt is when it began to.
+	limitSetAt time.Time
+	boards     []*Board
 	// side is the part of the fleet that a router reaches; frozen ones neither serve nor report.
 	side   []int
 	frozen map[int]bool
@@ -52,14 +54,14 @@
 	at, sent time.Time
 	router   int
 	attempt  Attempt
-	said     Said
+	said     TargetHints
 }
 
 // answerTime is how long a request takes at a target.
 const answerTime = 50 * time.Millisecond
 
-func newNamedFleet(t *testing.T, n, targets int, seed uint64, changes ...func(f *namedFleet)) *namedFleet {
-	f := &namedFleet{
+func newTargetLimitFleet(t *testing.T, n, targets int, seed uint64, changes ...func(f *targetLimitFleet)) *targetLimitFleet {
+	f := &targetLimitFleet{
 		t: t, rng: rand.New(rand.NewPCG(seed, seed)), now: epoch, targets: targets,
 		side: make([]int, n), frozen: make(map[int]bool), boards: make([]*Board, n),
 	}
@@ -74,28 +76,28 @@
 }
 
 // start starts a router anew.
-func (f *namedFleet) start(i int) {
+func (f *targetLimitFleet) start(i int) {
 	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.boards))), WithPartialPeerList()}, f.opts...)...)
 	b.Adopt(f.now, testSetup{}.snapshot(f.t))
-	var seen []Seen
+	var seen []ListedTarget
 	for k := range f.targets {
 		if f.single && k == 0 && i > 0 {
 			continue
 		}
-		seen = append(seen, Seen{Addr: testAddr(k), Labels: map[string]string{"s": "s"}})
+		seen = append(seen, ListedTarget{Addr: testAddr(k), Labels: map[string]string{"s": "s"}})
 	}
-	b.Targets(f.now, seen)
+	b.SetTargets(f.now, seen)
 	for k := range f.targets {
 		b.Report(f.now, testAddr(k), Report{Incarnation: "i", Slots: 64})
 	}
 	f.boards[i] = b
 }
 
-// name has the first target name a limit from now on.
-func (f *namedFleet) name(limit float64) { f.limit, f.namedAt = &limit, f.now }
+// setLimit has the first target name a limit from now on.
+func (f *targetLimitFleet) setLimit(limit float64) { f.limit, f.limitSetAt = &limit, f.now }
 
 // report lets all routers hear of each other.
-func (f *namedFleet) report() {
+func (f *targetLimitFleet) report() {
 	if !f.told.add(f.now, f.boards) {
 		return
 	}
@@ -107,7 +109,7 @@
 	}
 	sums := make(map[int]PeerState)
 	for side, states := range bySide {
-		sums[side] = Join(states)
+		sums[side] = JoinStates(states)
 	}
 	for i, b := range f.boards {
 		if f.frozen[i] {
@@ -123,10 +125,10 @@
 			if f.single {
 				routers = 1
 			}
-			b.Peers(f.now, nil, routers)
+			b.MergePeers(f.now, nil, routers)
 			continue
 		}
-		b.Peers(f.now, map[string]PeerState{"others": withoutOwn(sum, f.told[0][i])}, len(f.boards))
+		b.MergePeers(f.now, map[string]PeerState{"others": withoutOwn(sum, f.told[0][i])}, len(f.boards))
 	}
 }
 
@@ -146,7 +148,7 @@
 }
 
 // play has so many requests a second come to the routers for a time.
-func (f *namedFleet) play(d time.Duration, perSecond float64) {
+func (f *targetLimitFleet) play(d time.Duration, perSecond float64) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(fleetStep) {
 		if f.now.Sub(epoch)%fleetReport == 0 {
 			f.report()
@@ -161,14 +163,14 @@
 }
 
 // ask sends a request to a router, and on to the target that it chooses.
-func (f *namedFleet) ask(i int) {
+func (f *targetLimitFleet) ask(i int) {
 	f.asks++
 	req := Request{ID: fmt.Sprint(f.asks), Revision: 1, Pool: "s", Deadline: f.now.Add(4 * time.Second), QueueTime: time.Second}
 	f.take(i, f.boards[i].Arrive(f.now, req))
 }
 
 // take plays a router's sends.
-func (f *namedFleet) take(i int, actions []Action) {
+func (f *targetLimitFleet) take(i int, actions []Action) {
 	for _, a := range actions {
 		send, ok := a.(Send)
 		if !ok {
@@ -181,7 +183,7 @@
 				f.knowing = append(f.knowing, f.now)
 			}
 			if f.limit != nil {
-				late.said.Limit = SaidLimit{Named: true, PerSecond: *f.limit}
+				late.said.Limit = LimitHint{Named: true, PerSecond: *f.limit}
 			}
 		}
 		f.late = append(f.late, late)
@@ -189,28 +191,28 @@
 }
 
 // answer plays the answers that come now.
-func (f *namedFleet) answer() {
+func (f *targetLimitFleet) answer() {
 	for len(f.late) > 0 && !f.late[0].at.After(f.now) {
 		l := f.late[0]
 		f.late = f.late[1:]
 		b := f.boards[l.router]
-		b.Said(f.now, Mark{l.attempt.Target, "i"}, l.sent, l.said)
+		b.ApplyHints(f.now, TargetKey{l.attempt.Target, "i"}, l.sent, l.said)
 		f.take(l.router, b.Ended(f.now, Outcome{Request: l.attempt.Request, Attempt: l.attempt.ID, Kind: OutcomeDone}))
 	}
 }
 
-// most returns the most requests that came to the first target in one window that begins from a time on.
-func (f *namedFleet) most(from time.Time) int { return mostIn(f.sent, from) }
+// maxSent returns the most requests that came to the first target in one window that begins from a time on.
+func (f *targetLimitFleet) maxSent(from time.Time) int { return maxInWindow(f.sent, from) }
 
-// mostIn returns the most times in one window that begins from a time on.
-func mostIn(times []time.Time, from time.Time) int {
+// maxInWindow returns the most times in one window that begins from a time on.
+func maxInWindow(times []time.Time, from time.Time) int {
 	most, first := 0, 0
 	for i, at := range times {
 		if at.Before(from) {
 			first = i + 1
 			continue
 		}
-		for at.Sub(times[first]) > namedWindow {
+		for at.Sub(times[first]) > targetLimitWindow {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -219,7 +221,7 @@
 }
 
 // since returns how many came from a time on.
-func (f *namedFleet) since(from time.Time) int {
+func (f *targetLimitFleet) since(from time.Time) int {
 	n := 0
 	for _, at := range f.sent {
 		if !at.Before(from) {
@@ -232,38 +234,38 @@
 // told is how long after its first word a target's limit is held against what it gets.
 const toldTime = 500 * time.Millisecond
 
-// namedPlays are histories of a fleet in which a target gets more than the limit that it names, and
+// targetLimitScenarios are histories of a fleet in which a target gets more than the limit that it names, and
 // the limit that holds at their end.
-func namedPlays() map[string]func(f *namedFleet, limit, perSecond float64) {
-	return map[string]func(f *namedFleet, limit, perSecond float64){
-		"named under load": func(f *namedFleet, limit, perSecond float64) {
+func targetLimitScenarios() map[string]func(f *targetLimitFleet, limit, perSecond float64) {
+	return map[string]func(f *targetLimitFleet, limit, perSecond float64){
+		"named under load": func(f *targetLimitFleet, limit, perSecond float64) {
 			f.play(4*time.Second, perSecond)
-			f.name(limit)
+			f.setLimit(limit)
 			f.play(20*time.Second, perSecond)
 		},
-		"load comes after a rest": func(f *namedFleet, limit, perSecond float64) {
-			f.name(limit)
+		"load comes after a rest": func(f *targetLimitFleet, limit, perSecond float64) {
+			f.setLimit(limit)
 			f.play(10*time.Second, 2)
 			f.play(15*time.Second, perSecond)
 		},
-		"a third start again": func(f *namedFleet, limit, perSecond float64) {
-			f.name(limit)
+		"a third start again": func(f *targetLimitFleet, limit, perSecond float64) {
+			f.setLimit(limit)
 			f.play(8*time.Second, perSecond)
 			for i := 0; i < len(f.boards); i += 3 {
 				f.start(i)
 			}
 			f.play(10*time.Second, perSecond)
 		},
-		"one after the other starts again": func(f *namedFleet, limit, perSecond float64) {
-			f.name(limit)
+		"one after the other starts again": func(f *targetLimitFleet, limit, perSecond float64) {
+			f.setLimit(limit)
 			f.play(5*time.Second, perSecond)
 			for i := range min(20, len(f.boards)) {
 				f.start(i)
 				f.play(300*time.Millisecond, perSecond)
 			}
 		},
-		"a sixth is cut off": func(f *namedFleet, limit, perSecond float64) {
-			f.name(limit)
+		"a sixth is cut off": func(f *targetLimitFleet, limit, perSecond float64) {
+			f.setLimit(limit)
 			f.play(8*time.Second, perSecond)
 			for i := range f.side {
 				f.side[i] = cutOff(i, 6)
@@ -273,9 +275,9 @@
 	}
 }
 
-// namedLimits are the limits that fleets are played with, in requests a second; the largest fleet
+// testTargetLimits are the limits that fleets are played with, in requests a second; the largest fleet
 // with one, for the time that it takes.
-func namedLimits(routers int) []float64 {
+func testTargetLimits(routers int) []float64 {
 	if routers > 100 {
 		return []float64{2}
 	}
@@ -284,19 +286,19 @@
 
 // A target that names a limit gets no more than it allows in any window, over all routers together
 // and however few requests a second that is for each, and nearly as much where more is asked.
-func TestNamedLimitBound(t *testing.T) {
-	for name, play := range namedPlays() {
+func TestTargetLimitBound(t *testing.T) {
+	for name, play := range targetLimitScenarios() {
 		for _, n := range []int{1, 8, 90, 390} {
-			for _, limit := range namedLimits(n) {
+			for _, limit := range testTargetLimits(n) {
 				t.Run(fmt.Sprintf("%s/%d routers/%g", name, n, limit), func(t *testing.T) {
 					t.Parallel()
-					f := newNamedFleet(t, n, 4, 1)
+					f := newTargetLimitFleet(t, n, 4, 1)
 					// Each of the four targets would get three times the limit.
 					play(f, limit, 4*3*limit)
-					most := f.most(f.namedAt.Add(toldTime))
+					most := f.maxSent(f.limitSetAt.Add(toldTime))
 					used := float64(f.since(f.now.Add(-8*time.Second))) / (8 * limit)
-					t.Logf("%d in one window, allowed %.0f; %.2f of the limit used at the end", most, namedBound(limit), used)
-					require.LessOrEqual(t, float64(most), namedBound(limit))
+					t.Logf("%d in one window, allowed %.0f; %.2f of the limit used at the end", most, targetLimitBound(limit), used)
+					require.LessOrEqual(t, float64(most), targetLimitBound(limit))
 				})
 			}
 		}
@@ -306,21 +308,21 @@
 // surge has a load of 15 times the limit come at once to a target that names it, as all know, after a rest in
 // which nobody asked for anything.
 func surge(t *testing.T, routers int, limit float64) {
-	f := newNamedFleet(t, routers, 4, 1)
-	f.name(limit)
+	f := newTargetLimitFleet(t, routers, 4, 1)
+	f.setLimit(limit)
 	f.play(4*time.Second, 4*3*limit)
 	f.play(10*time.Second, 0)
 	f.play(3*time.Second, 4*15*limit)
 	f.play(5*time.Second, 4*3*limit)
-	most := f.most(f.namedAt.Add(toldTime))
-	t.Logf("%d in one window, allowed %.0f", most, namedBound(limit))
-	require.LessOrEqual(t, float64(most), namedBound(limit))
+	most := f.maxSent(f.limitSetAt.Add(toldTime))
+	t.Logf("%d in one window, allowed %.0f", most, targetLimitBound(limit))
+	require.LessOrEqual(t, float64(most), targetLimitBound(limit))
 }
 
 // Routers that cannot know yet what the others are asked do not each take a limit for unused, however many they are.
-func TestNamedLimitSurge(t *testing.T) {
+func TestTargetLimitSurge(t *testing.T) {
 	for _, n := range []int{1, 4, 8, 12, 90, 390} {
-		for _, limit := range namedLimits(n) {
+		for _, limit := range testTargetLimits(n) {
 			t.Run(fmt.Sprintf("%d routers/%g", n, limit), func(t *testing.T) { surge(t, n, limit) })
 		}
 	}
@@ -330,18 +332,18 @@
 const usedRequests = 80
 
 // What a target takes under its limit is used to four fifths at the least, while more is asked.
-func TestNamedLimitUsed(t *testing.T) {
+func TestTargetLimitUsed(t *testing.T) {
 	for _, n := range []int{1, 8, 90, 390} {
-		for _, limit := range namedLimits(n) {
+		for _, limit := range testTargetLimits(n) {
 			t.Run(fmt.Sprintf("%d routers/%g", n, limit), func(t *testing.T) {
 				t.Parallel()
-				f := newNamedFleet(t, n, 4, 2)
-				f.name(limit)
+				f := newTargetLimitFleet(t, n, 4, 2)
+				f.setLimit(limit)
 				f.play(10*time.Second, 4*3*limit)
 				begun, play := f.now, time.Duration(usedRequests/limit*float64(time.Second))
 				f.play(play, 4*3*limit)
 				used := float64(f.since(begun)) / usedRequests
-				t.Logf("%.2f of the limit used, %d in one window, allowed %.0f", used, f.most(begun), namedBound(limit))
+				t.Logf("%.2f of the limit used, %d in one window, allowed %.0f", used, f.maxSent(begun), targetLimitBound(limit))
 				require.GreaterOrEqual(t, used, 0.8)
 			})
 		}
@@ -350,8 +352,8 @@
 
 // A limit that is raised, lowered or ended is known to all routers once one of them was told, and
 // an answer to a request from before the limit was heard of does not end it.
-func TestNamedLimitChanges(t *testing.T) {
-	f := newNamedFleet(t, 8, 4, 3)
+func TestTargetLimitChanges(t *testing.T) {
+	f := newTargetLimitFleet(t, 8, 4, 3)
 	knows := func(limit float64) {
 		t.Helper()
 		for i, b := range f.boards {
@@ -360,14 +362,14 @@
 		}
 	}
 	for _, limit := range []float64{2, 1, 4} {
-		f.name(limit)
+		f.setLimit(limit)
 		f.play(6*time.Second, 40)
 		knows(limit)
 	}
 	before := f.now.Add(-10 * time.Second)
-	f.boards[0].Said(f.now, Mark{testAddr(0), "i"}, before, Said{})
-	f.boards[1].Said(f.now, Mark{testAddr(0), "other"}, f.now, Said{})
-	f.boards[2].Said(f.now, Mark{testAddr(0), "i"}, f.now, Said{Limit: SaidLimit{Unread: true}})
+	f.boards[0].ApplyHints(f.now, TargetKey{testAddr(0), "i"}, before, TargetHints{})
+	f.boards[1].ApplyHints(f.now, TargetKey{testAddr(0), "other"}, f.now, TargetHints{})
+	f.boards[2].ApplyHints(f.now, TargetKey{testAddr(0), "i"}, f.now, TargetHints{Limit: LimitHint{Invalid: true}})
 	f.play(time.Second, 0)
 	knows(4)
 	f.limit = nil
@@ -379,23 +381,23 @@
 }
 
 // A limit ends with the incarnation that named it.
-func TestNamedLimitEndsWithIncarnation(t *testing.T) {
-	f := newNamedFleet(t, 1, 4, 4)
+func TestTargetLimitEndsWithIncarnation(t *testing.T) {
+	f := newTargetLimitFleet(t, 1, 4, 4)
 	b := f.boards[0]
-	b.Said(f.now, Mark{testAddr(0), "i"}, f.now, Said{Limit: SaidLimit{Named: true, PerSecond: 2}})
+	b.ApplyHints(f.now, TargetKey{testAddr(0), "i"}, f.now, TargetHints{Limit: LimitHint{Named: true, PerSecond: 2}})
 	require.True(t, b.targets[testAddr(0)].limit.named)
 	b.Report(f.now, testAddr(0), Report{Incarnation: "next", Slots: 64})
 	require.False(t, b.targets[testAddr(0)].limit.named)
-	b.Peers(f.now, map[string]PeerState{"p": {Limits: []LimitWord{{Target: Mark{testAddr(0), "i"}, Seq: 9, Named: true, PerSecond: 2}}}}, 2)
+	b.MergePeers(f.now, map[string]PeerState{"p": {Limits: []LimitUpdate{{Target: TargetKey{testAddr(0), "i"}, Seq: 9, Named: true, PerSecond: 2}}}}, 2)
 	require.False(t, b.targets[testAddr(0)].limit.named, "what others told of the one before says nothing of this one")
 }
 
 // Where a pool's only target is at its limit, requests wait for it and are looked at again and again: none
 // has a second try by that, and the limit is used as if each were looked at once.
-func TestNamedLimitAlone(t *testing.T) {
+func TestTargetLimitAlone(t *testing.T) {
 	for _, limit := range []float64{2, 10} {
-		f := newNamedFleet(t, 3, 1, 5)
-		f.name(limit)
+		f := newTargetLimitFleet(t, 3, 1, 5)
+		f.setLimit(limit)
 		begun := f.now
 		for range 3000 {
 			f.play(2*fleetStep, 3*limit)
@@ -404,21 +406,21 @@
 			}
 		}
 		used := float64(f.since(begun)) / (f.now.Sub(begun).Seconds() * limit)
-		t.Logf("%.2f of the limit used, %d in one window, allowed %.0f", used, f.most(begun.Add(toldTime)), namedBound(limit))
+		t.Logf("%.2f of the limit used, %d in one window, allowed %.0f", used, f.maxSent(begun.Add(toldTime)), targetLimitBound(limit))
 		require.GreaterOrEqual(t, used, 0.8)
-		require.LessOrEqual(t, float64(f.most(begun.Add(toldTime))), namedBound(limit))
+		require.LessOrEqual(t, float64(f.maxSent(begun.Add(toldTime))), targetLimitBound(limit))
 	}
 }
 
 // A limit is kept over any history of a fleet: routers that start anew, are cut off, freeze and wake, singly and
 // many at once, under any load. One that was started anew and has not heard of the limit yet cannot keep it; what
 // it sends meanwhile is not counted.
-func TestNamedLimitFuzz(t *testing.T) {
+func TestTargetLimitFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "routers")
 		limit := rapid.Float64Range(0.2, 8).Draw(rt, "limit")
-		f := newNamedFleet(t, n, 3, rapid.Uint64().Draw(rt, "seed"))
-		f.name(limit)
+		f := newTargetLimitFleet(t, n, 3, rapid.Uint64().Draw(rt, "seed"))
+		f.setLimit(limit)
 		pick := func() int { return rapid.IntRange(0, n-1).Draw(rt, "router") }
 		for range rapid.IntRange(1, 10).Draw(rt, "steps") {
 			switch rapid.SampledFrom([]string{"start", "start many", "cut", "part", "heal", "freeze", "wake", "play"}).Draw(rt, "step") {
@@ -446,8 +448,8 @@
 			load := rapid.Float64Range(0, 8).Draw(rt, "load")
 			f.play(time.Duration(rapid.IntRange(100, 4000).Draw(rt, "ms"))*time.Millisecond, 3*load*limit)
 		}
-		if most := mostIn(f.knowing, f.namedAt); float64(most) > namedBound(limit) {
-			rt.Fatalf("%d in one window, allowed %.1f", most, namedBound(limit))
+		if most := maxInWindow(f.knowing, f.limitSetAt); float64(most) > targetLimitBound(limit) {
+			rt.Fatalf("%d in one window, allowed %.1f", most, targetLimitBound(limit))
 		}
 	})
 }
@@ -455,22 +457,22 @@
 // The ways that were weighed, on the same history: how much of the limit is used, and the most in one window.
 // Equal parts use a small limit too, by chance, but what one router is not asked for no other takes; one
 // router for each target uses no more than what comes to it.
-func TestNamedLimitWays(t *testing.T) {
-	ways := map[string]func(f *namedFleet){
-		"one account": func(*namedFleet) {},
-		"equal parts": func(f *namedFleet) { f.opts = []Option{WithoutMechanisms(LimitAccount)} },
-		"one router":  func(f *namedFleet) { f.single = true },
+func TestTargetLimitStrategies(t *testing.T) {
+	ways := map[string]func(f *targetLimitFleet){
+		"one account": func(*targetLimitFleet) {},
+		"equal parts": func(f *targetLimitFleet) { f.opts = []Option{WithoutMechanisms(LimitAccount)} },
+		"one router":  func(f *targetLimitFleet) { f.single = true },
 	}
 	for name, way := range ways {
 		for _, n := range []int{6, 90} {
 			for _, limit := range []float64{2, 10} {
-				f := newNamedFleet(t, n, 4, 7, way)
-				f.name(limit)
+				f := newTargetLimitFleet(t, n, 4, 7, way)
+				f.setLimit(limit)
 				f.play(5*time.Second, 12*limit)
 				begun, play := f.now, time.Duration(usedRequests/limit*float64(time.Second))
 				f.play(play, 12*limit)
 				used := float64(f.since(begun)) / usedRequests
-				t.Logf("%s, %d routers, limit %g: %.2f used, %d of %.0f in one window", name, n, limit, used, f.most(begun), namedBound(limit))
+				t.Logf("%s, %d routers, limit %g: %.2f used, %d of %.0f in one window", name, n, limit, used, f.maxSent(begun), targetLimitBound(limit))
 				if name == "one account" {
 					require.GreaterOrEqual(t, used, 0.8)
 				}
--- a/route/target_restart_test.go
+++ b/route/target_restart_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restarted returns the board of a process that was started anew in a world, with
+// restartedBoard returns the board of a process that was started anew in a world, with
 // nothing of what the last one knew but the configuration.
-func restarted(t *testing.T, w *world, opts ...Option) *Board {
+func restartedBoard(t *testing.T, w *world, opts ...Option) *Board {
 	b := NewBoard(append([]Option{WithSeed(2)}, opts...)...)
 	b.Adopt(w.now, w.snap)
 	require.Empty(t, b.View(epoch))
 	return b
 }
 
-// seenOf returns the list as it names targets of the plain pool.
-func seenOf(leaving bool, targets ...*fakeTarget) []Seen {
-	var out []Seen
+// listedTargets returns the list as it names targets of the plain pool.
+func listedTargets(leaving bool, targets ...*fakeTarget) []ListedTarget {
+	var out []ListedTarget
 	for _, f := range targets {
-		out = append(out, Seen{Addr: f.addr, Labels: map[string]string{"s": "s"}, Leaving: leaving})
+		out = append(out, ListedTarget{Addr: f.addr, Labels: map[string]string{"s": "s"}, Leaving: leaving})
 	}
 	return out
 }
@@ -31,69 +31,69 @@
 func TestLeavingOverRestart(t *testing.T) {
 	w := newWorld(t, 0, 1, testSetup{})
 	f := w.targets[0]
-	mark := Mark{f.addr, Incarnation(f.id())}
+	mark := TargetKey{f.addr, Incarnation(f.id())}
 	ready, leaving := f.report(), f.report()
 	leaving.Leaving = true
-	told := map[string]PeerState{"p": {Leaving: []Mark{mark}}}
+	told := map[string]PeerState{"p": {Leaving: []TargetKey{mark}}}
 	cases := map[string]func(b *Board){
 		"the list": func(b *Board) {
-			b.Targets(w.now, seenOf(true, f))
+			b.SetTargets(w.now, listedTargets(true, f))
 			b.Report(w.now, f.addr, ready)
 		},
 		"its own entry": func(b *Board) {
-			b.Targets(w.now, seenOf(false, f))
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, leaving)
 		},
 		"the list, which says ready again": func(b *Board) {
-			b.Targets(w.now, seenOf(true, f))
+			b.SetTargets(w.now, listedTargets(true, f))
 			b.Report(w.now, f.addr, leaving)
-			b.Targets(w.now, seenOf(false, f))
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
 		},
 		"its entry, which goes and comes back as ready": func(b *Board) {
-			b.Targets(w.now, seenOf(true, f))
+			b.SetTargets(w.now, listedTargets(true, f))
 			b.Report(w.now, f.addr, leaving)
-			b.Targets(w.now, nil)
-			b.Targets(w.now, seenOf(false, f))
+			b.SetTargets(w.now, nil)
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
 		},
 		"a peer, before the list": func(b *Board) {
-			b.Peers(w.now, told, 2)
-			b.Targets(w.now, seenOf(false, f))
+			b.MergePeers(w.now, told, 2)
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
 		},
 		"a peer, after an old list": func(b *Board) {
-			b.Targets(w.now, seenOf(false, f))
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
-			b.Peers(w.now, told, 2)
+			b.MergePeers(w.now, told, 2)
 		},
 		"a peer, between two old lists": func(b *Board) {
-			b.Targets(w.now, seenOf(false, f))
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
-			b.Peers(w.now, told, 2)
-			b.Peers(w.now, nil, 1)
-			b.Targets(w.now, nil)
-			b.Targets(w.now, seenOf(false, f))
+			b.MergePeers(w.now, told, 2)
+			b.MergePeers(w.now, nil, 1)
+			b.SetTargets(w.now, nil)
+			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
 		},
 	}
 	for name, tell := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := restarted(t, w)
+			b := restartedBoard(t, w)
 			tell(b)
 			require.False(t, b.targets[f.addr].usable())
-			require.Contains(t, b.Marks(), mark, "the process tells others too")
+			require.Contains(t, b.DrainingTargets(), mark, "the process tells others too")
 		})
 	}
 	t.Run("the entry is gone", func(t *testing.T) {
-		b := restarted(t, w)
-		b.Targets(w.now, nil)
+		b := restartedBoard(t, w)
+		b.SetTargets(w.now, nil)
 		require.Empty(t, b.targets)
 	})
 	t.Run("the next incarnation is not marked", func(t *testing.T) {
-		b := restarted(t, w)
-		b.Peers(w.now, told, 2)
-		b.Targets(w.now, seenOf(false, f))
+		b := restartedBoard(t, w)
+		b.MergePeers(w.now, told, 2)
+		b.SetTargets(w.now, listedTargets(false, f))
 		b.Report(w.now, f.addr, Report{Incarnation: "next"})
 		require.True(t, b.targets[f.addr].usable())
 	})
@@ -103,11 +103,11 @@
 // address. It sends there under the incarnation of the list's entry alone, so that a
 // stranger refuses and is then kept out as before; a peer's word that names another
 // incarnation changes nothing.
-func TestStrangerAfterRestart(t *testing.T) {
+func TestUnconfirmedAfterRestart(t *testing.T) {
 	w := newWorld(t, 0, 1, testSetup{trust: true})
 	f := w.targets[0]
-	b := restarted(t, w, WithReusedAddresses())
-	b.Targets(w.now, seenOf(false, f))
+	b := restartedBoard(t, w, WithReusedAddresses())
+	b.SetTargets(w.now, listedTargets(false, f))
 	require.False(t, b.targets[f.addr].usable(), "nothing is sent before an incarnation is known")
 	b.Report(w.now, f.addr, f.report())
 	send := func(id string) []Action {
@@ -122,7 +122,7 @@
 	require.EqualValues(t, f.id(), a.Incarnation, "the old entry's incarnation is expected")
 	b.Ended(w.now, Outcome{Request: "r1", Attempt: a.ID, Kind: OutcomeRefused, Incarnation: "stranger"})
 	require.False(t, b.targets[f.addr].usable())
-	b.Peers(w.now, map[string]PeerState{"p": {Loaded: []WeightsWord{{Target: Mark{f.addr, Incarnation(f.id())}, Model: "m", Weights: "w2"}}}}, 2)
+	b.MergePeers(w.now, map[string]PeerState{"p": {Loaded: []WeightsUpdate{{Target: TargetKey{f.addr, Incarnation(f.id())}, Model: "m", Weights: "w2"}}}}, 2)
 	require.Empty(t, send("r2"), "the stranger gets no work")
 	// The old entry is read once more: what is sent then still names the old incarnation.
 	out = b.Report(w.now, f.addr, f.report())
--- a/route/weights.go
+++ b/route/weights.go
@@ -36,16 +36,16 @@
 	return func(b *Board) { b.staleness = &s }
 }
 
-// namingsKept bounds the spans remembered for a model; weights that came before the
+// maxNewestSpans bounds the spans remembered for a model; weights that came before the
 // oldest of them are too old to be used in any case.
-const namingsKept = 8
+const maxNewestSpans = 8
 
-// Newest takes the news that weights were the newest of a model for a span of time, and
+// AddNewestSpan takes the news that weights were the newest of a model for a span of time, and
 // reports whether they are newer than those known before.
-func (b *Board) Newest(now time.Time, s NewestSpan) (newer bool) {
+func (b *Board) AddNewestSpan(now time.Time, s NewestSpan) (newer bool) {
 	list, newer := b.named[s.Model].join(s)
 	if b.staleness != nil {
-		list = list.prune(now, b.staleness.Limit, namingsKept)
+		list = list.prune(now, b.staleness.Limit, maxNewestSpans)
 	}
 	b.named[s.Model] = list
 	if newer {
@@ -72,39 +72,39 @@
 	return out
 }
 
-// use says how weights are used by their age.
-type use int
+// weightsUse says how weights are used by their age.
+type weightsUse int
 
 const (
-	useAsGood use = iota
-	useAtPrice
-	useNoMore
+	useFreely weightsUse = iota
+	usePenalised
+	useNever
 )
 
-// useOf returns how weights of a model are used now.
-func (b *Board) useOf(now time.Time, model, weights string) use {
+// weightsUseOf returns how weights of a model are used now.
+func (b *Board) weightsUseOf(now time.Time, model, weights string) weightsUse {
 	if b.staleness == nil {
-		return useAsGood
+		return useFreely
 	}
-	after, by, replaced := b.named[model].replaced(weights)
+	after, by, replaced := b.named[model].replacedBetween(weights)
 	switch {
 	case !replaced:
-		return useAsGood
+		return useFreely
 	case !now.Before(b.staleness.until(after, by, b.staleness.Limit)):
-		return useNoMore
+		return useNever
 	case now.Sub(by) >= b.staleness.Grace && !b.disabled.Has(NewestWeights):
-		return useAtPrice
+		return usePenalised
 	}
-	return useAsGood
+	return useFreely
 }
 
-// tooOldBy reports whether weights of a model are too old for a request to begin on at a
+// tooOldToBegin reports whether weights of a model are too old for a request to begin on at a
 // later time.
-func (b *Board) tooOldBy(begin time.Time, model, weights string) bool {
+func (b *Board) tooOldToBegin(begin time.Time, model, weights string) bool {
 	if b.staleness == nil {
 		return false
 	}
-	after, by, replaced := b.named[model].replaced(weights)
+	after, by, replaced := b.named[model].replacedBetween(weights)
 	return replaced && !begin.Before(b.staleness.until(after, by, b.staleness.BeginLimit))
 }
 
@@ -132,7 +132,7 @@
 	var out []Action
 	for _, a := range t.attempts {
 		r := b.requests[a.Request]
-		if r == nil || r.Model == nil || !r.Streams || a.firstToken || a.cancelled || !b.tooOldBy(now, r.Model.Name, a.Weights) {
+		if r == nil || r.Model == nil || !r.Streams || a.firstToken || a.cancelled || !b.tooOldToBegin(now, r.Model.Name, a.Weights) {
 			continue
 		}
 		a.cancelled, a.withdrawn = true, true
@@ -149,7 +149,7 @@
 		return
 	}
 	t.unused = weights
-	after, by, _ := b.named[model].replaced(weights)
+	after, by, _ := b.named[model].replacedBetween(weights)
 	most := "an unknown time"
 	if !after.IsZero() {
 		most = now.Sub(after).Round(time.Millisecond).String()
@@ -168,7 +168,7 @@
 			continue
 		}
 		for model, weights := range t.weights() {
-			if _, by, ok := b.named[model].replaced(weights); ok {
+			if _, by, ok := b.named[model].replacedBetween(weights); ok {
 				oldest = max(oldest, now.Sub(by))
 			}
 		}
@@ -197,11 +197,11 @@
 	return r.sample < newestShare*float64(have)/float64(len(list))
 }
 
-// weightsGuess is what a target was taken to have because it refused a request for
+// assumedWeights is what a target was taken to have because it refused a request for
 // having other weights than expected. It may be wrong: the target may have been brought
 // to weights between those expected and the newest. So it yields to what the target
 // reports, and the work of bringing targets to the newest weights takes no account of it.
-type weightsGuess struct {
+type assumedWeights struct {
 	model   string
 	weights string
 	until   time.Time
@@ -209,27 +209,27 @@
 
 // weights returns the weights that requests to the target expect.
 func (t *target) weights() map[string]string {
-	if t.guess.weights == "" {
+	if t.assumed.weights == "" {
 		return t.report.Weights
 	}
 	out := maps.Clone(t.report.Weights)
-	out[t.guess.model] = t.guess.weights
+	out[t.assumed.model] = t.assumed.weights
 	return out
 }
 
 // WeightsOf returns the weights that one incarnation of a target was last seen with.
-func (b *Board) WeightsOf(m Mark, model string) string {
-	t, ok := b.marked(m)
+func (b *Board) WeightsOf(m TargetKey, model string) string {
+	t, ok := b.targetByKey(m)
 	if !ok {
 		return ""
 	}
 	return t.report.Weights[model]
 }
 
-// misjudged takes the word of a target that it is the expected incarnation and
+// handleWeightsMismatch takes the word of a target that it is the expected incarnation and
 // has other weights than were expected. Most likely it was brought to the newest, and
 // told of late. If that was believed already, nothing is sent until its next report.
-func (b *Board) misjudged(now time.Time, a *attempt) {
+func (b *Board) handleWeightsMismatch(now time.Time, a *attempt) {
 	r, ok := b.requests[a.Request]
 	if !ok || b.staleness == nil {
 		return
@@ -240,28 +240,28 @@
 	}
 	newest := b.NewestWeights(model)
 	if !OlderWeights(a.Weights, newest) {
-		b.setGuess(now, t, weightsGuess{})
-		b.suspect(now, t)
+		b.setAssumedWeights(now, t, assumedWeights{})
+		b.markSilent(now, t)
 		return
 	}
-	g := weightsGuess{model: model, weights: newest, until: now.Add(b.staleness.GuessTime)}
-	if t.guess.weights != "" {
-		g.until = t.guess.until
+	g := assumedWeights{model: model, weights: newest, until: now.Add(b.staleness.GuessTime)}
+	if t.assumed.weights != "" {
+		g.until = t.assumed.until
 	}
-	b.setGuess(now, t, g)
+	b.setAssumedWeights(now, t, g)
 	b.noteWeights(t, map[string]string{model: newest}, "its refusal")
 }
 
-// setGuess changes what a target is taken to have beside what it reports.
-func (b *Board) setGuess(now time.Time, t *target, g weightsGuess) {
+// setAssumedWeights changes what a target is taken to have beside what it reports.
+func (b *Board) setAssumedWeights(now time.Time, t *target, g assumedWeights) {
 	had := t.weights()
-	t.guess = g
-	b.changedWeights(now, t, had)
+	t.assumed = g
+	b.applyWeightsChange(now, t, had)
 }
 
-// changedWeights forgets what is believed of a target's cache if the weights that
+// applyWeightsChange forgets what is believed of a target's cache if the weights that
 // requests expect there are no longer those that it had.
-func (b *Board) changedWeights(now time.Time, t *target, had map[string]string) {
+func (b *Board) applyWeightsChange(now time.Time, t *target, had map[string]string) {
 	if sameWeights(had, t.weights()) {
 		return
 	}
@@ -269,23 +269,23 @@
 	b.version++
 }
 
-// WeightsWord says which weights a target was seen to have.
-type WeightsWord struct {
-	Target  Mark
+// WeightsUpdate says which weights a target was seen to have.
+type WeightsUpdate struct {
+	Target  TargetKey
 	Model   string
 	Weights string
 }
 
-// Loaded takes the word that a target has newer weights than it was last seen with.
-func (b *Board) Loaded(now time.Time, w WeightsWord) []Action {
-	t, ok := b.marked(w.Target)
+// WeightsLoaded takes the word that a target has newer weights than it was last seen with.
+func (b *Board) WeightsLoaded(now time.Time, w WeightsUpdate) []Action {
+	t, ok := b.targetByKey(w.Target)
 	if !ok || !OlderWeights(t.report.Weights[w.Model], w.Weights) {
 		return nil
 	}
 	had := t.weights()
 	t.report.Weights = map[string]string{w.Model: w.Weights}
-	t.guess = weightsGuess{}
-	b.changedWeights(now, t, had)
+	t.assumed = assumedWeights{}
+	b.applyWeightsChange(now, t, had)
 	b.noteWeights(t, t.report.Weights, "the holder of the lease")
 	return b.dispatch(now)
 }
@@ -296,23 +296,23 @@
 	}
 }
 
-// reportedWeights takes the weights of a target's report. An older word than is known of
+// applyReportedWeights takes the weights of a target's report. An older word than is known of
 // the incarnation changes nothing, but for a guess whose time is over.
-func (b *Board) reportedWeights(now time.Time, t *target, r Report, had map[string]string) {
+func (b *Board) applyReportedWeights(now time.Time, t *target, r Report, had map[string]string) {
 	changed := !sameWeights(t.report.Weights, r.Weights)
-	if changed || !now.Before(t.guess.until) {
-		t.guess = weightsGuess{}
+	if changed || !now.Before(t.assumed.until) {
+		t.assumed = assumedWeights{}
 	}
 	if changed && !t.reported.IsZero() {
 		b.noteWeights(t, r.Weights, "its own entry")
 	}
 	t.report.Weights = r.Weights
-	b.changedWeights(now, t, had)
+	b.applyWeightsChange(now, t, had)
 }
 
-// goesBack reports whether a report has older weights than are known of the same incarnation.
-func (t *target) goesBack(r Report) bool {
-	if t.unreported || !r.Incarnation.Same(t.incarnation) {
+// regresses reports whether a report has older weights than are known of the same incarnation.
+func (t *target) regresses(r Report) bool {
+	if t.reportOutdated || !r.Incarnation.Same(t.incarnation) {
 		return false
 	}
 	for model, weights := range r.Weights {
--- a/route/weights_test.go
+++ b/route/weights_test.go
@@ -73,24 +73,24 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewBoard(WithNumberedWeights(Staleness{Limit: 9 * time.Second, BeginLimit: 10 * time.Second, UnknownUntil: at(start + 3)}))
 			for _, s := range c.told {
-				b.Newest(s.First, s)
+				b.AddNewestSpan(s.First, s)
 			}
 			until := at(c.until)
-			require.NotEqual(t, useNoMore, b.useOf(until.Add(-time.Millisecond), "m", "1"))
-			require.Equal(t, useNoMore, b.useOf(until, "m", "1"))
+			require.NotEqual(t, useNever, b.weightsUseOf(until.Add(-time.Millisecond), "m", "1"))
+			require.Equal(t, useNever, b.weightsUseOf(until, "m", "1"))
 		})
 	}
 }
 
 // What one process tells another says the same there, as far as the way allows.
-func TestNewestWord(t *testing.T) {
+func TestNewestUpdate(t *testing.T) {
 	now := epoch.Add(time.Minute)
 	for name, s := range map[string]NewestSpan{
 		"both known": {Model: "m", Weights: "2", First: epoch, Last: epoch.Add(3 * time.Second)},
 		"no end":     {Model: "m", Weights: "2", First: epoch.Add(time.Second)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := s.Word(now)
+			w := s.Update(now)
 			require.Equal(t, s, w.Span(now, now))
 			late := w.Span(now, now.Add(time.Second))
 			require.Equal(t, s.First.Add(time.Second), late.First, "it may have been named by then, not before")
@@ -141,7 +141,7 @@
 			case 2: // The store answers, at some moment of the call.
 				way := time.Duration(rapid.IntRange(0, 700).Draw(rt, "way")) * time.Millisecond
 				back := time.Duration(rapid.IntRange(0, 700).Draw(rt, "back")) * time.Millisecond
-				boards[i].Newest(now, NewestAt(now.Add(-back-way), now, "m", newest(now.Add(-back))))
+				boards[i].AddNewestSpan(now, NewestAt(now.Add(-back-way), now, "m", newest(now.Add(-back))))
 			default: // Another board's word, which was on its way for some time.
 				j := rapid.IntRange(0, len(boards)-1).Draw(rt, "peer")
 				delay := time.Duration(rapid.IntRange(0, 3000).Draw(rt, "delay")) * time.Millisecond
@@ -151,7 +151,7 @@
 					if !asked {
 						from = time.Time{}
 					}
-					boards[i].Newest(now.Add(delay), s.Word(now).Span(from, now.Add(delay)))
+					boards[i].AddNewestSpan(now.Add(delay), s.Update(now).Span(from, now.Add(delay)))
 				}
 				now = now.Add(delay)
 			}
@@ -160,7 +160,7 @@
 					weights := string(rune('1' + n))
 					known := b.NewestWeights("m") > weights
 					late := now.Sub(replaced) >= limit && !now.Before(begun[i].Add(unknown))
-					if known && late && b.useOf(now, "m", weights) != useNoMore {
+					if known && late && b.weightsUseOf(now, "m", weights) != useNever {
 						rt.Fatalf("board %d uses weights %s %s after they were replaced", i, weights, now.Sub(replaced))
 					}
 				}
@@ -171,20 +171,20 @@
 
 // An older word about an incarnation's weights undoes no newer one, and a target that
 // refuses because of its weights is believed.
-func TestWeightsWords(t *testing.T) {
+func TestWeightsUpdates(t *testing.T) {
 	p := newPartsBoard(t, 1)
-	mark := Mark{testAddr(0), "0"}
+	mark := TargetKey{testAddr(0), "0"}
 	p.announceWeights("2")
-	p.b.Loaded(p.now, WeightsWord{mark, "m", "2"})
+	p.b.WeightsLoaded(p.now, WeightsUpdate{mark, "m", "2"})
 	p.report(0, "1")
 	require.Equal(t, "2", p.b.WeightsOf(mark, "m"), "the list lags")
-	p.b.Loaded(p.now, WeightsWord{mark, "m", "1"})
+	p.b.WeightsLoaded(p.now, WeightsUpdate{mark, "m", "1"})
 	require.Equal(t, "2", p.b.WeightsOf(mark, "m"))
 
 	p.announceWeights("10")
 	a := p.place(p.request("a", Part{"x", 10}))
 	require.Equal(t, "2", a.Weights)
-	p.refuses(a)
+	p.refuseWeights(a)
 	p.report(0, "2")
 	a = p.place(p.request("a", Part{"y", 10}))
 	require.Equal(t, "10", a.Weights, "the next request expects what the target has, also while the list lags")
@@ -195,25 +195,25 @@
 
 // A target that refused because of its weights need not have the newest: what was guessed
 // is not taken for seen, so that it is still brought on, and yields to its own reports.
-func TestWeightsGuess(t *testing.T) {
+func TestAssumedWeights(t *testing.T) {
 	for name, play := range map[string]func(p *partsBoard){
 		"it reports weights between": func(p *partsBoard) { p.report(0, "2") },
 		"it refuses the guess": func(p *partsBoard) {
 			a := p.place(p.request("a", Part{"z", 10}))
 			require.Equal(p.t, "4", a.Weights)
-			p.refuses(a)
+			p.refuseWeights(a)
 			require.Nil(p.t, p.place(p.request("a", Part{"v", 10})), "nothing is sent before it reports itself")
 			p.report(0, "2")
 		},
 		"the holder of the lease saw it": func(p *partsBoard) {
-			p.b.Loaded(p.now, WeightsWord{Mark{testAddr(0), "0"}, "m", "2"})
+			p.b.WeightsLoaded(p.now, WeightsUpdate{TargetKey{testAddr(0), "0"}, "m", "2"})
 		},
 		"the list lags for long, and then says so": func(p *partsBoard) {
 			p.now = p.now.Add(testGuessTime)
 			p.report(0, "1")
 			a := p.place(p.request("a", Part{"z", 10}))
 			require.Equal(p.t, "1", a.Weights, "its own word goes first again")
-			p.refuses(a)
+			p.refuseWeights(a)
 			p.report(0, "2")
 		},
 	} {
@@ -224,10 +224,10 @@
 			}
 			a := p.place(p.request("a", Part{"x", 10}))
 			require.Equal(t, "1", a.Weights)
-			p.refuses(a)
-			require.Equal(t, "1", p.b.WeightsOf(Mark{testAddr(0), "0"}, "m"), "nobody saw the target with others")
+			p.refuseWeights(a)
+			require.Equal(t, "1", p.b.WeightsOf(TargetKey{testAddr(0), "0"}, "m"), "nobody saw the target with others")
 			play(p)
-			require.Equal(t, "2", p.b.WeightsOf(Mark{testAddr(0), "0"}, "m"))
+			require.Equal(t, "2", p.b.WeightsOf(TargetKey{testAddr(0), "0"}, "m"))
 			a = p.place(p.request("a", Part{"y", 10}))
 			require.Equal(t, "2", a.Weights)
 		})
@@ -240,7 +240,7 @@
 	p := newPartsBoard(t, 2)
 	p.announceWeights("2")
 	p.report(1, "2")
-	p.b.Hold(map[Mark]bool{{testAddr(1), "1"}: true})
+	p.b.SetHeldTargets(map[TargetKey]bool{{testAddr(1), "1"}: true})
 	p.now = p.now.Add(8 * time.Second)
 	stream := func(id string, tokens int) Request {
 		r := p.request("a", Part{id, tokens})
@@ -285,12 +285,12 @@
 			}
 			a := p.place(p.request("a", Part{"x", 10}))
 			require.Equal(t, "1", a.Weights)
-			p.refuses(a)
+			p.refuseWeights(a)
 			for _, weights := range c.reports {
 				p.now = p.now.Add(100 * time.Millisecond)
 				p.report(0, weights)
 			}
-			require.Equal(t, c.seen, p.b.WeightsOf(Mark{testAddr(0), "0"}, "m"))
+			require.Equal(t, c.seen, p.b.WeightsOf(TargetKey{testAddr(0), "0"}, "m"))
 			a = p.place(p.request("a", Part{"y", 10}))
 			require.NotNil(t, a)
 			require.Equal(t, c.want, a.Weights, "the next request expects what the target has")
@@ -312,7 +312,7 @@
 	require.Less(t, p.now.Add(own), epoch.Add(testBeginLimit), "it takes %s to read", own)
 }
 
-// refuses ends an attempt that its target refused, being the expected incarnation.
-func (p *partsBoard) refuses(a *Attempt) {
+// refuseWeights ends an attempt that its target refused, being the expected incarnation.
+func (p *partsBoard) refuseWeights(a *Attempt) {
 	p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeRefused, Incarnation: a.Incarnation})
 }
--- a/route/world_test.go
+++ b/route/world_test.go
@@ -112,19 +112,19 @@
 }
 
 func (w *world) reportList() {
-	var seen []Seen
+	var seen []ListedTarget
 	for _, f := range w.targets {
 		label := "e"
 		if f.service {
 			label = "s"
 		}
-		seen = append(seen, Seen{Addr: f.addr, Labels: map[string]string{"s": label}, Leaving: f.listLeaving})
+		seen = append(seen, ListedTarget{Addr: f.addr, Labels: map[string]string{"s": label}, Leaving: f.listLeaving})
 		if f.listLeaving && !f.listed {
 			w.announcedLeaving[f.id()] = true
 		}
 		f.listed = f.listLeaving
 	}
-	w.execute(w.board.Targets(w.now, seen))
+	w.execute(w.board.SetTargets(w.now, seen))
 }
 
 func (w *world) report(f *fakeTarget) {
--- a/router/engine.go
+++ b/router/engine.go
@@ -84,10 +84,10 @@
 // takeSaid takes what the head of an answer says of the target that gave it, which is the one that was asked
 // unless it names another.
 func (r *Router) takeSaid(a route.Attempt, sent time.Time, reply *dispatch.Reply) {
-	by := route.Mark{Target: a.Target, Incarnation: cmp.Or(reply.Incarnation, a.Incarnation)}
+	by := route.TargetKey{Target: a.Target, Incarnation: cmp.Or(reply.Incarnation, a.Incarnation)}
 	r.Lock()
 	defer r.Unlock()
-	r.Board().Said(time.Now(), by, sent, reply.Reported)
+	r.Board().ApplyHints(time.Now(), by, sent, reply.Reported)
 }
 
 // identityMatches checks what a target echoes before any of its answer is used.
--- a/router/operators.go
+++ b/router/operators.go
@@ -85,7 +85,7 @@
 	r.Do(func(b *route.Board, now time.Time) []route.Action {
 		for _, t := range b.View(now) {
 			if t.Addr == addr {
-				b.Leaving(route.Mark{Target: addr, Incarnation: t.Incarnation})
+				b.MarkDraining(route.TargetKey{Target: addr, Incarnation: t.Incarnation})
 			}
 		}
 		return nil
--- a/router/peers.go
+++ b/router/peers.go
@@ -52,7 +52,7 @@
 // tellBoard gives the board the states of the live peers.
 func (r *Router) tellBoard() {
 	states := make(map[string]route.PeerState)
-	held := make(map[route.Mark]bool)
+	held := make(map[route.TargetKey]bool)
 	for _, e := range r.gossip.Live() {
 		switch e.Payload.Kind {
 		case peer.KindRouter:
@@ -64,7 +64,7 @@
 		}
 	}
 	r.Do(func(b *route.Board, now time.Time) []route.Action {
-		b.Hold(held)
-		return b.Peers(now, states, 1+max(len(states), r.seedRouters))
+		b.SetHeldTargets(held)
+		return b.MergePeers(now, states, 1+max(len(states), r.seedRouters))
 	})
 }
--- a/router/poll.go
+++ b/router/poll.go
@@ -39,8 +39,8 @@
 }
 
 // takeList gives the board the targets on the list and starts and stops pollers.
-func (r *Router) takeList(ctx context.Context, list []route.Seen) {
-	seen := make([]route.Seen, 0, len(list))
+func (r *Router) takeList(ctx context.Context, list []route.ListedTarget) {
+	seen := make([]route.ListedTarget, 0, len(list))
 	listed := make(map[netip.AddrPort]bool, len(list))
 	for _, s := range list {
 		if k := s.Labels[labelKind]; k == kindRouter || k == kindFleet {
@@ -49,7 +49,7 @@
 		seen = append(seen, s)
 		listed[s.Addr] = true
 	}
-	r.Do(func(b *route.Board, now time.Time) []route.Action { return b.Targets(now, seen) })
+	r.Do(func(b *route.Board, now time.Time) []route.Action { return b.SetTargets(now, seen) })
 	r.Lock()
 	defer r.Unlock()
 	for addr := range listed {
@@ -93,7 +93,7 @@
 	r.Do(func(b *route.Board, now time.Time) []route.Action {
 		switch {
 		case transport.ConnectionRefused(err):
-			return append(b.TargetEnded(now, addr), b.Unreachable(now, addr)...)
+			return append(b.TargetCrashed(now, addr), b.Unreachable(now, addr)...)
 		case err != nil:
 			return b.Unreachable(now, addr)
 		}
--- a/router/ports.go
+++ b/router/ports.go
@@ -20,7 +20,7 @@
 
 // List reads the VMs that stand on the platform's list.
 type List interface {
-	Read(ctx context.Context) ([]route.Seen, error)
+	Read(ctx context.Context) ([]route.ListedTarget, error)
 }
 
 // Engines is how targets are asked about themselves and how cache is moved.
--- a/wire/protocol.go
+++ b/wire/protocol.go
@@ -122,9 +122,9 @@
 }
 
 // refusalHints reads what an answer says of its target: engines and gateways that are full name the time to come back.
-func refusalHints(status int, h http.Header) (s route.Said) {
+func refusalHints(status int, h http.Header) (s route.TargetHints) {
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
-		s.Rest = transport.RetryAfter(h, time.Now())
+		s.Backoff = transport.RetryAfter(h, time.Now())
 	}
 	return s
 }
--- a/wire/vmlist.go
+++ b/wire/vmlist.go
@@ -30,7 +30,7 @@
 }
 
 // Read fetches the list. It implements router.List and controller.List.
-func (l *VMList) Read(ctx context.Context) ([]route.Seen, error) {
+func (l *VMList) Read(ctx context.Context) ([]route.ListedTarget, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
 	if err != nil {
 		return nil, errs.Errorf("vm list: %w", err)
@@ -51,7 +51,7 @@
 }
 
 // DecodeVMs reads a list and fails on an address that is not an IP number and port.
-func DecodeVMs(data []byte) ([]route.Seen, error) {
+func DecodeVMs(data []byte) ([]route.ListedTarget, error) {
 	var groups []struct {
 		Targets []string          `json:"targets"`
 		Labels  map[string]string `json:"labels"`
@@ -59,14 +59,14 @@
 	if err := json.Unmarshal(data, &groups); err != nil {
 		return nil, errs.Errorf("vm list: %w", err)
 	}
-	var vms []route.Seen
+	var vms []route.ListedTarget
 	for _, g := range groups {
 		for _, t := range g.Targets {
 			addr, err := netip.ParseAddrPort(t)
 			if err != nil {
 				return nil, errs.Errorf("vm list: %w", err)
 			}
-			vms = append(vms, route.Seen{Addr: addr, Labels: g.Labels, Leaving: g.Labels["state"] == StateLeaving})
+			vms = append(vms, route.ListedTarget{Addr: addr, Labels: g.Labels, Leaving: g.Labels["state"] == StateLeaving})
 		}
 	}
 	return vms, nil
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -228,6 +228,6 @@
 // A target that turned a request away with 429 or 503 may ask for rest; no other answer does.
 func TestRefusalHints(t *testing.T) {
 	for status, want := range map[int]time.Duration{503: 3 * time.Second, 429: 3 * time.Second, 200: 0, 500: 0} {
-		require.Equal(t, want, refusalHints(status, http.Header{"Retry-After": {"3"}}).Rest, "status %d", status)
+		require.Equal(t, want, refusalHints(status, http.Header{"Retry-After": {"3"}}).Backoff, "status %d", status)
 	}
 }
