--- a/router/engine.go
+++ b/router/engine.go
@@ -81,7 +81,7 @@
 	return nil, out
 }
 
-// takeSaid takes what the head of an answer says of the target that gave it, which is the one that was asked
+// recordTargetHints takes what the head of an answer says of the target that gave it, which is the one that was asked
 // unless it names another.
 func (r *Router) takeSaid(a route.Attempt, sent time.Time, reply *dispatch.Reply) {
 	by := route.TargetKey{Target: a.Target, Incarnation: cmp.Or(reply.Incarnation, a.Incarnation)}
--- a/router/peers.go
+++ b/router/peers.go
@@ -49,7 +49,7 @@
 // Exchange implements [peer.Handler].
 func (r *Router) Exchange(in peer.Exchange) peer.Exchange { return r.gossip.Exchange(in) }
 
-// tellBoard gives the board the states of the live peers.
+// updateBoard gives the board the states of the live peers.
 func (r *Router) tellBoard() {
 	states := make(map[string]route.PeerState)
 	held := make(map[route.TargetKey]bool)
--- a/router/router.go
+++ b/router/router.go
@@ -269,12 +269,12 @@
 	return door.HTTP(addr, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader}, cfg, r.log)
 }
 
-// tickEvery is the board's resolution of time for expired waits and held-back retries.
+// tickInterval is the board's resolution of time for expired waits and held-back retries.
 const tickEvery = 10 * time.Millisecond
 
 func (r *Router) tickLoop(ctx context.Context) { r.Tick(ctx, tickEvery) }
 
-// sweepEvery is the time between two looks for idle connections to targets.
+// sweepInterval is the time between two looks for idle connections to targets.
 const sweepEvery = 2 * time.Second
 
 func (r *Router) sweepLoop(ctx context.Context) {
