--- a/node/fleet_said_test.go
+++ b/node/fleet_said_test.go
@@ -61,7 +61,7 @@
 				time.Sleep(bound)
 				require.Equal(t, site.nodes, f.countKnowing(func(v route.TargetView) bool { return v.Limit == nil }), "nodes that know that it ended")
 
-				f.says(5, route.TargetHints{Leaving: true})
+				f.says(5, route.TargetHints{Draining: true})
 				time.Sleep(bound)
 				require.Equal(t, site.nodes, f.countKnowing(func(v route.TargetView) bool { return v.Leaving }), "nodes that know that it leaves")
 			})
--- a/route/board.go
+++ b/route/board.go
@@ -378,7 +378,7 @@
 	for _, t := range all {
 		v := TargetView{
 			Addr: t.addr, Name: t.name(), Incarnation: t.incarnation, Weights: t.weights(),
-			Leaving: t.leaving, Failing: t.failing, InFlight: len(t.attempts), Horizon: t.horizon.age,
+			Leaving: t.draining, Failing: t.failing, InFlight: len(t.attempts), Horizon: t.horizon.age,
 		}
 		if t.limit.named {
 			limit := t.limit.perSecond
--- a/route/crash.go
+++ b/route/crash.go
@@ -188,7 +188,7 @@
 // recordBroken notes an attempt that broke off for no reason known, at a target that may have
 // ended. One that was leaving was to end, whatever ran there.
 func (b *Board) recordBroken(now time.Time, r *request, a *attempt, o Outcome) {
-	if o.Kind != OutcomeBroken || !o.Closed && !o.Silent || a.cancelled || !r.Print.Known() || a.target.leaving || a.target.listLeaving {
+	if o.Kind != OutcomeBroken || !o.Closed && !o.Silent || a.cancelled || !r.Print.Known() || a.target.draining || a.target.listedDraining {
 		return
 	}
 	if a.firstToken && now.Sub(a.firstTokenAt) >= survivalTime {
--- a/route/identity.go
+++ b/route/identity.go
@@ -9,12 +9,12 @@
 
 // setListDraining takes the list's word on leaving, of the incarnation that it names or, where it
 // names none, of whichever runs now.
-func (b *Board) setListDraining(now time.Time, t *target, leaving bool) {
-	if leaving && !t.listLeaving {
+func (b *Board) setListDraining(now time.Time, t *target, draining bool) {
+	if draining && !t.listedDraining {
 		t.markedAt = now
 		b.setDraining(t, "vm list")
 	}
-	t.listLeaving = leaving
+	t.listedDraining = draining
 }
 
 // identify notes the incarnation a target says it has. A new one starts with no
@@ -30,7 +30,7 @@
 		return
 	}
 	code := event.TargetRestarted
-	ambiguous := t.leaving && !t.listNames && !t.markedAt.Before(t.reported)
+	ambiguous := t.draining && !t.listNames && !t.markedAt.Before(t.reported)
 	if t.incarnation == "" {
 		code = event.TargetSeen
 	} else {
@@ -41,7 +41,7 @@
 	t.incarnation = incarnation
 	b.restoreHints(t)
 	t.assumed = assumedWeights{}
-	t.leaving = false
+	t.draining = false
 	if ambiguous {
 		b.setDraining(t, "vm list")
 	}
@@ -58,7 +58,7 @@
 	}
 	t.incarnation = incarnation
 	b.version++
-	if t.leaving {
+	if t.draining {
 		b.marks[t.key()] = true
 	}
 }
@@ -93,11 +93,11 @@
 	if t.incarnation != "" {
 		b.marks[t.key()] = true
 	}
-	if t.leaving {
+	if t.draining {
 		return
 	}
 	b.version++
-	t.leaving = true
+	t.draining = true
 	b.emit(event.Event{Code: event.TargetLeaving, Target: t.name(), Detail: "says " + source})
 }
 
--- a/route/target.go
+++ b/route/target.go
@@ -81,15 +81,15 @@
 	// stranger says that an answer named the incarnation, which has not reported
 	// itself yet: the address may be another pool's by now.
 	unconfirmed bool
-	leaving     bool
-	// listNames says that the list tells which incarnation it means, listLeaving is its
+	draining    bool
+	// listNames says that the list tells which incarnation it means, listedDraining is its
 	// present word, markedAt when it began to say so.
-	listNames   bool
-	listLeaving bool
-	markedAt    time.Time
-	held        bool
-	failures    int
-	failing     bool
+	listNames      bool
+	listedDraining bool
+	markedAt       time.Time
+	held           bool
+	failures       int
+	failing        bool
 	// suspectedAt is when the target was last taken out for giving no sign of life,
 	// silentAt when this router found that itself, answeredAt when it last got an answer.
 	suspectedAt, silentAt, answeredAt time.Time
@@ -149,7 +149,7 @@
 
 // usable reports whether the target may get new work.
 func (t *target) usable() bool {
-	return t.listed && !t.leaving && !t.listLeaving && !t.held && !t.failing &&
+	return t.listed && !t.draining && !t.listedDraining && !t.held && !t.failing &&
 		!t.reported.IsZero() && !t.unconfirmed
 }
 
--- a/route/answer_status.go
+++ b/route/target_hints.go
@@ -10,8 +10,8 @@
 // TargetHints is what an answer says of the target that gave it.
 type TargetHints struct {
 	// Leaving says that the target leaves.
-	Leaving bool
-	Limit   LimitHint
+	Draining bool
+	Limit    LimitHint
 	// Rest is for how long the target, which turned a request away, wants none of this router.
 	Backoff time.Duration
 }
@@ -28,11 +28,11 @@
 // ApplyHints takes what an answer to a request that was sent at a time says of its target. It is
 // believed of the incarnation that answered, and ends with it.
 func (b *Board) ApplyHints(now time.Time, m TargetKey, sent time.Time, s TargetHints) {
-	if s.Leaving {
+	if s.Draining {
 		b.marks[m] = true
 	}
 	if t, ok := b.targets[m.Target]; ok && m.Incarnation.Same(t.incarnation) {
-		if s.Leaving {
+		if s.Draining {
 			// The target knows it before the list does, which may be away or behind.
 			b.setDraining(t, "its own answer")
 		}
--- a/route/answer_status_test.go
+++ b/route/target_hints_test.go
@@ -31,7 +31,7 @@
 
 // An answer's word on leaving holds until the incarnation that gave it ends, whatever else is told of it.
 func TestDrainingHintKept(t *testing.T) {
-	leaves := TargetHints{Leaving: true}
+	leaves := TargetHints{Draining: true}
 	of := func(i Incarnation) TargetKey { return TargetKey{testAddr(0), i} }
 	for name, c := range map[string]struct {
 		said  TargetKey
