--- a/peer/codec.go
+++ b/peer/codec.go
@@ -9,24 +9,25 @@
 	"net/rpc"
 )
 
-// Observer hears of the bytes of one message of a call: sent to the process at addr, or
-// read from it as the answer.
+// Observer receives the size of each message of a call in bytes: of a request sent to the
+// process at addr, or of a response read from it.
 type Observer func(addr netip.AddrPort, method string, sent, read int)
 
-// countingCodec is net/rpc's own coding of a client's calls, by gob, which tells the
+// countingCodec is a gob client codec like the default one of net/rpc that also counts the
 // bytes of each message. [rpc.Client] writes one message at a time and reads one at a time.
 type countingCodec struct {
 	conn net.Conn
 	out  *bufio.Writer
 	enc  *gob.Encoder
 	dec  *gob.Decoder
-	// written and taken count the bytes that passed the coders.
+	// written and received count the bytes that passed through the encoder and the decoder.
 	written  countingWriter
 	received *countingReader
-	// method is that of the answer whose head was read, begun how many bytes came before it.
+	// method is the method of the response whose header was read last, messageStart the
+	// number of bytes received before that header.
 	method       string
 	messageStart int
-	// observe hears of each message.
+	// observe is called for each message.
 	observe func(method string, sent, read int)
 }
 
@@ -39,14 +40,14 @@
 
 // WriteRequest implements [rpc.ClientCodec].
 func (c *countingCodec) WriteRequest(r *rpc.Request, body any) error {
-	begun := c.written.n
+	start := c.written.n
 	if err := c.enc.Encode(r); err != nil {
 		return err
 	}
 	if err := c.enc.Encode(body); err != nil {
 		return err
 	}
-	c.observe(r.ServiceMethod, c.written.n-begun, 0)
+	c.observe(r.ServiceMethod, c.written.n-start, 0)
 	return c.out.Flush()
 }
 
@@ -81,8 +82,8 @@
 	return n, err
 }
 
-// countingReader counts the bytes that are read. It reads single bytes too, so that a
-// gob decoder takes no more than a message.
+// countingReader counts the bytes that are read. It implements [io.ByteReader], so that a
+// gob decoder adds no buffer of its own and reads no further than the current message.
 type countingReader struct {
 	r *bufio.Reader
 	n int
--- a/peer/config.go
+++ b/peer/config.go
@@ -17,38 +17,38 @@
 	"github.com/pathhead/pathhead/fleet"
 )
 
-// pieceBytes is the size of the pieces in which a configuration goes from one process to
-// another, each by a call of its own. A process that falls behind on a slow or busy link
-// loses one piece of its way, never the whole: sent at once, a text that a link does not
-// carry within the time of a call never arrives. With 10 Mbit/s a piece takes 13 ms, and
-// the 32 processes that one relay answers may all wait for one within the time of a call.
+// pieceBytes is the size of the pieces in which a configuration is transferred between
+// processes, with one call for each piece. A call that times out on a slow or congested
+// link loses one piece, not the whole transfer; a document sent in one call would never
+// arrive over a link that cannot carry it within the call timeout. At 10 Mbit/s a piece
+// takes 13 ms, so one relay can send a piece to each of its 32 processes within that timeout.
 const pieceBytes = 16 << 10
 
-// maxDocument bounds a configuration that is unpacked, in bytes.
+// maxDocument bounds a downloaded configuration in bytes, both packed and unpacked.
 const maxDocument = 64 << 20
 
-// ConfigQuery asks a peer for a piece of the configuration that it serves under.
+// ConfigQuery requests a piece of the configuration in force at a peer.
 type ConfigQuery struct {
 	From string
-	// Have is the revision that the asker has; only a newer one is of use to it.
+	// Have is the requester's revision; only a newer one is returned.
 	Have int64
-	// Digest names the packed document that the asker has Offset bytes of, if any. A peer
-	// that has another one answers with the first piece of it.
+	// Digest identifies the packed document of which the requester has the first Offset
+	// bytes, if any. A peer with another document responds with the first piece of that one.
 	Digest uint64
 	Offset int
 }
 
-// ConfigPiece answers a [ConfigQuery]; without a newer document it is empty.
+// ConfigPiece is the response to a [ConfigQuery]; it is empty if there is no newer document.
 type ConfigPiece struct {
 	Revision int64
-	// Digest names the packed document, Size is what it has in bytes.
+	// Digest identifies the packed document, Size is its length in bytes.
 	Digest uint64
 	Size   int
 	Offset int
 	Data   []byte
 }
 
-// Piece answers with a piece of the document in force.
+// Piece returns a piece of the configuration in force.
 func (s peerService) Piece(in *ConfigQuery, out *ConfigPiece) error {
 	d, ok := s.handler.Config()
 	if !ok || d.Revision <= in.Have {
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// Config answers with the whole document, for processes of releases that know no pieces:
-// while a fleet is upgraded some ask for it. Those of this one find no pieces at the others, and
-// read the store instead.
+// Config returns the whole document. It serves processes of releases without Piece, which
+// run while a fleet is upgraded. In the other direction, processes of this release cannot
+// call Piece on such peers and read the store instead.
 func (s peerService) Config(_ *ConfigQuery, out *fleet.Document) error {
 	d, ok := s.handler.Config()
 	if !ok {
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// packer packs the newest document once for all who ask.
+// packer packs the newest document once and returns the result to all requesters.
 type packer struct {
 	mu     sync.Mutex
 	newest packedDocument
 }
 
-// packedDocument is a document as it goes over the wire.
+// packedDocument is a document as it is sent between processes: encoded with gob and compressed.
 type packedDocument struct {
 	revision int64
 	digest   uint64
@@ -110,9 +110,9 @@
 	return out
 }
 
-// packDocument packs a document. Routes differ in little but their names: 4,200 of them take
-// 0.88 MB as operators write them and 0.064 MB packed, for 3 ms of a core once and 2 ms at
-// each process that unpacks them (BenchmarkPackDocument, BenchmarkUnpackDocument).
+// packDocument packs a document. Routes differ in little but their names, so they compress
+// well: 4,200 of them take 0.88 MB as text and 0.064 MB packed, for 3 ms of CPU time once
+// and 2 ms in each process that unpacks them.
 func packDocument(d fleet.Document) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -134,51 +134,51 @@
 	return d, err
 }
 
-// partialDocument is a packed document of which some pieces have come.
+// partialDocument is a packed document of which some pieces have been received.
 type partialDocument struct {
 	revision int64
 	digest   uint64
 	data     []byte
 }
 
-// add adds a piece and reports whether the document is whole. The first piece of another
-// document, as of a peer that has adopted a newer one meanwhile, begins anew.
-func (d *partialDocument) add(p ConfigPiece) (whole bool, err error) {
+// add appends a piece and reports whether the document is complete. The first piece of
+// another document, as from a peer that has adopted a newer one, replaces what was received.
+func (d *partialDocument) add(p ConfigPiece) (complete bool, err error) {
 	if p.Digest != d.digest {
 		*d = partialDocument{revision: p.Revision, digest: p.Digest}
 	}
 	if p.Offset != len(d.data) || len(p.Data) == 0 || p.Size > maxDocument || len(d.data)+len(p.Data) > p.Size {
-		return false, errs.Errorf("revision %d: a piece of %d bytes at %d of %d, where %d have come", p.Revision, len(p.Data), p.Offset, p.Size, len(d.data))
+		return false, errs.Errorf("revision %d: piece of %d bytes at offset %d of %d does not fit the %d bytes received", p.Revision, len(p.Data), p.Offset, p.Size, len(d.data))
 	}
 	d.data = append(d.data, p.Data...)
 	if len(d.data) < p.Size {
 		return false, nil
 	}
 	if xxh3.Hash(d.data) != p.Digest {
-		return false, errs.Errorf("revision %d: the pieces do not make up what was announced", p.Revision)
+		return false, errs.Errorf("revision %d: digest of the received pieces differs from the announced one", p.Revision)
 	}
 	return true, nil
 }
 
-// downloadState keeps what came of a document before a call failed, for the next call.
+// downloadState holds the part of a document received before a call failed, for the next call to continue.
 type downloadState struct {
 	mu    sync.Mutex
 	saved partialDocument
 }
 
-// resume returns what was kept of a newer revision than the given one.
+// resume returns the saved part if its revision is newer than have, and an empty one otherwise.
 func (t *downloadState) resume(have int64) partialDocument {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.saved.revision <= have {
 		t.saved = partialDocument{}
 	}
-	out := t.saved
-	out.data = slices.Clip(out.data)
-	return out
+	part := t.saved
+	part.data = slices.Clip(part.data)
+	return part
 }
 
-// save keeps a document that is not whole, if it is newer than the kept one or more of it has come.
+// save saves an incomplete document if it is newer than the saved one or has more of the same revision.
 func (t *downloadState) save(d partialDocument) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,30 +187,30 @@
 	}
 }
 
-// reset drops what was kept.
+// reset discards the saved part.
 func (t *downloadState) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.saved = partialDocument{}
 }
 
-// Config takes the document in force at addr if it is newer than the revision that the
-// process has; ok is false if it is not. Each piece is a call of its own, so that all of them may
-// take longer than the client's time. What came before a failure is kept for the next call, to
-// whichever peer that has the same document.
+// Config downloads the configuration in force at addr if it is newer than revision have; ok
+// is false if it is not. Each piece is a call of its own, so the whole download may take
+// longer than the client's timeout. The part received before a failure is saved, and the next
+// call continues it from any peer that has the same document.
 func (p *Client) Config(ctx context.Context, addr netip.AddrPort, from string, have int64) (d fleet.Document, ok bool, err error) {
 	got := p.download.resume(have)
-	for whole := false; !whole; {
+	for complete := false; !complete; {
 		q := ConfigQuery{From: from, Have: have, Digest: got.digest, Offset: len(got.data)}
 		piece, err := invoke[ConfigPiece](ctx, p, addr, "Piece", &q)
 		if err != nil {
 			p.download.save(got)
-			return d, false, errs.Errorf("after %d bytes: %w", q.Offset, err)
+			return d, false, errs.Errorf("configuration download stopped after %d bytes: %w", q.Offset, err)
 		}
 		if piece.Revision <= have {
 			return d, false, nil
 		}
-		if whole, err = got.add(piece); err != nil {
+		if complete, err = got.add(piece); err != nil {
 			p.download.reset()
 			return d, false, errs.Errorf("peer %s: %w", addr, err)
 		}
--- a/peer/config_bench_test.go
+++ b/peer/config_bench_test.go
@@ -12,7 +12,7 @@
 // benchRoutes is the number of routes of a large configuration.
 const benchRoutes = 4200
 
-// routesDocument is a configuration with many routes as operators write them, of 200 bytes each.
+// routesDocument returns a configuration with benchRoutes routes of about 200 bytes each.
 func routesDocument() fleet.Document {
 	rng := rand.New(rand.NewPCG(3, 3))
 	var b strings.Builder
--- a/peer/config_test.go
+++ b/peer/config_test.go
@@ -13,23 +13,23 @@
 	"github.com/pathhead/pathhead/fleet"
 )
 
-// documentOf returns a document with a text of many routes, which packs well, or of noise.
+// documentOf returns a document of repeated routes, which compress well, followed by random bytes.
 func documentOf(rt *rapid.T, revision int64) fleet.Document {
 	text := strings.Repeat(`{"name":"r","backend":"s"},`, rapid.IntRange(0, 5000).Draw(rt, "routes"))
 	noise := rapid.SliceOfN(rapid.Byte(), 0, 4*pieceBytes).Draw(rt, "noise")
 	return fleet.Document{Revision: revision, Text: text + string(noise), Author: "a", At: time.Unix(revision, 0).UTC()}
 }
 
-// A document comes whole and unchanged however many times its taking breaks off, whoever is
-// asked next, and whatever newer one takes its place meanwhile.
+// A document is received unchanged however often its download is interrupted, whichever peer
+// is asked next, and whenever a newer document replaces it.
 func TestConfigPieces(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		docs := []fleet.Document{documentOf(rt, 1), documentOf(rt, 2)}
 		peers := []*packer{new(packer), new(packer)}
-		var kept downloadState
-		got, asked, broke := kept.resume(0), 0, 0
+		var download downloadState
+		got, calls, interrupted := download.resume(0), 0, 0
 		at := 0
-		for whole := false; !whole; asked++ {
+		for complete := false; !complete; calls++ {
 			if at == 0 && rapid.IntRange(0, 9).Draw(rt, "newer") == 0 {
 				at = 1
 			}
@@ -37,13 +37,13 @@
 			p, err := peers[peer].pack(docs[at])
 			require.NoError(rt, err)
 			if rapid.IntRange(0, 3).Draw(rt, "breaks") == 0 {
-				kept.save(got)
-				got = kept.resume(0)
-				broke++
+				download.save(got)
+				got = download.resume(0)
+				interrupted++
 			}
-			whole, err = got.add(p.piece(ConfigQuery{Digest: got.digest, Offset: len(got.data)}))
+			complete, err = got.add(p.piece(ConfigQuery{Digest: got.digest, Offset: len(got.data)}))
 			require.NoError(rt, err)
-			require.LessOrEqual(rt, asked, 2*(len(p.data)/pieceBytes+20), "a break costs no more than a piece")
+			require.LessOrEqual(rt, calls, 2*(len(p.data)/pieceBytes+20), "an interruption costs at most one piece")
 		}
 		d, err := unpackDocument(got.data)
 		require.NoError(rt, err)
@@ -51,7 +51,7 @@
 	})
 }
 
-// A process of a release that knows no pieces gets the document at once.
+// A process of a release that does not request pieces gets the whole document.
 func TestConfigWhole(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	require.NoError(t, <-done)
 }
 
-// What does not fit together is an error and is not gone on with.
+// A piece that does not fit the part already received is an error.
 func TestConfigPiecesBad(t *testing.T) {
 	data := []byte(strings.Repeat("x", 3*pieceBytes))
 	p := packedDocument{revision: 4, digest: 7, data: data}
@@ -89,10 +89,10 @@
 		})
 	}
 	_, err := unpackDocument(data)
-	require.Error(t, err, "what is no packed document")
+	require.Error(t, err, "not a packed document")
 }
 
-// largeDocumentPeer answers with a large document, and its door ends each connection after so many bytes.
+// largeDocumentPeer answers with a large document.
 type largeDocumentPeer struct {
 	fakePeer
 	doc fleet.Document
@@ -100,7 +100,7 @@
 
 func (b largeDocumentPeer) Config() (fleet.Document, bool) { return b.doc, true }
 
-// limitedListener ends each connection once so many bytes have left by it.
+// limitedListener closes each connection once that many bytes were sent on it.
 type limitedListener struct {
 	net.Listener
 	bytes int
@@ -124,8 +124,8 @@
 	return c.Conn.Write(b)
 }
 
-// A process gets a document over connections that each end long before it is whole, and
-// asks a peer that has nothing newer for nothing.
+// A process completes the download of a document over connections that each close long before
+// its end, and gets nothing from a peer that has no newer document.
 func TestConfigOverBrokenConnections(t *testing.T) {
 	var text strings.Builder
 	for i := range 40_000 {
@@ -145,7 +145,7 @@
 		got, ok, _ = p.Config(t.Context(), addr, "q", 2)
 	}
 	require.Equal(t, doc, got)
-	require.Greater(t, calls, 3, "connections that ended")
+	require.Greater(t, calls, 3, "connections that were closed")
 	_, ok, err := p.Config(t.Context(), addr, "q", 3)
 	require.NoError(t, err)
 	require.False(t, ok)
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// countingConn counts the bytes that pass a connection.
+// countingConn counts the bytes sent and read on a connection.
 type countingConn struct {
 	net.Conn
 	sent atomic.Int64
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -9,47 +9,49 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// CrashMessage is what one process tells another of targets that ended under requests. Where
-// neither knows of any, nothing is sent.
+// CrashMessage carries updates on targets that crashed while running requests from one
+// process to another. It is omitted while neither has any updates.
 type CrashMessage struct {
-	// Known is how much the sender has of what the receiver knows.
+	// Known is the sender's position in the receiver's updates.
 	Known CrashCursor
-	// Words are what the sender knows beyond what it told the receiver before, Cursor how much that is then.
+	// Words are the sender's updates that the receiver has not been sent yet, Cursor is the
+	// receiver's position after them.
 	Words  []route.CrashUpdate
 	Cursor CrashCursor
 }
 
-// CrashCursor is how much of a process's words another one has. Epoch is a number that the process draws
-// at its start; 32 bits are enough to tell two starts apart and small to send.
+// CrashCursor is a position in the crash updates of a process. Epoch is a random number that
+// the process draws at its start; 32 bits are enough to tell two starts apart and encode briefly.
 type CrashCursor struct {
 	Epoch int64
 	Next  int64
 }
 
-// CrashGossip is a process's side of these words to all others. Each word is told to a process
-// once, however often they speak, and again after that one was started anew.
+// CrashGossip exchanges crash updates with all peers. Each update is sent to a peer once,
+// however many exchanges follow, and again after that peer was restarted.
 type CrashGossip struct {
 	epoch int64
-	since func(after int64) (words []route.CrashUpdate, version int64)
-	merge func(words []route.CrashUpdate)
+	since func(after int64) (updates []route.CrashUpdate, version int64)
+	merge func(updates []route.CrashUpdate)
 
 	mu    sync.Mutex
 	peers map[netip.AddrPort]crashPeerState
 }
 
-// crashPeerState is how much another process was told and has told.
+// crashPeerState holds the version of the local updates that a peer was sent, and the local position
+// in the peer's updates.
 type crashPeerState struct {
 	sentVersion int64
 	known       CrashCursor
 }
 
-// NewCrashGossip returns the side of a process that knows what since returns, beyond a version of
-// it, and hears what others know by take.
-func NewCrashGossip(since func(after int64) ([]route.CrashUpdate, int64), take func([]route.CrashUpdate)) *CrashGossip {
-	return &CrashGossip{epoch: int64(rand.Uint32N(math.MaxUint32)) + 1, since: since, merge: take, peers: make(map[netip.AddrPort]crashPeerState)}
+// NewCrashGossip returns the crash gossip of a process: since returns the local updates after a
+// version and the current version, merge takes the updates received from a peer.
+func NewCrashGossip(since func(after int64) ([]route.CrashUpdate, int64), merge func([]route.CrashUpdate)) *CrashGossip {
+	return &CrashGossip{epoch: int64(rand.Uint32N(math.MaxUint32)) + 1, since: since, merge: merge, peers: make(map[netip.AddrPort]crashPeerState)}
 }
 
-// NewRequest returns what to send to the process at addr, nil for nothing.
+// NewRequest returns the message to send to the process at addr, nil if there is nothing to send.
 func (t *CrashGossip) NewRequest(addr netip.AddrPort) *CrashMessage {
 	if t == nil {
 		return nil
@@ -68,16 +70,16 @@
 	return out
 }
 
-// updatesSince returns the own words beyond a version, nil where there are none.
+// updatesSince returns the local updates after a version, nil if there are none.
 func (t *CrashGossip) updatesSince(version int64) *CrashMessage {
-	words, now := t.since(version)
+	updates, now := t.since(version)
 	if now == version {
 		return nil
 	}
-	return &CrashMessage{Words: words, Cursor: CrashCursor{Epoch: t.epoch, Next: now}}
+	return &CrashMessage{Words: updates, Cursor: CrashCursor{Epoch: t.epoch, Next: now}}
 }
 
-// HandleResponse takes the answer to what was asked; nil says that there is nothing new.
+// HandleResponse processes a peer's answer to the message asked; a nil answer has nothing new.
 func (t *CrashGossip) HandleResponse(addr netip.AddrPort, asked, answer *CrashMessage) {
 	if t == nil || asked == nil && answer == nil {
 		return
@@ -89,7 +91,7 @@
 	}
 	if answer != nil {
 		if p.known.Epoch != answer.Cursor.Epoch && p.known.Epoch != 0 {
-			// It was started anew and has lost what it was told before.
+			// The peer was restarted and has lost the updates that it was sent before.
 			p.sentVersion = 0
 		}
 		p.known = answer.Cursor
@@ -101,14 +103,14 @@
 	}
 }
 
-// maxCrashPeers bounds the processes remembered, three times the largest fleet expected.
+// maxCrashPeers bounds the number of peers whose positions are kept, three times the largest fleet expected.
 const maxCrashPeers = 1200
 
-// HandleFailure notes that a process did not answer. What it was told in that call it is told again;
-// what it told and was told before stands, and a start anew shows by its epoch. Told all once more
-// after each call that failed, 82 nodes of which some were cut off as targets ended in herds sent
-// each other hundreds of words again and again. One of too many processes may be gone for good and
-// is forgotten.
+// HandleFailure notes that a call to a peer failed. The updates of that call are sent again with the
+// next one. The positions from before stay valid, since a restart shows by its epoch: resending
+// all updates after each failed call made 82 nodes, some of them partitioned while many targets
+// crashed, send each other hundreds of updates over and over. Beyond maxCrashPeers the peer may
+// be gone for good, and its positions are deleted.
 func (t *CrashGossip) HandleFailure(addr netip.AddrPort) {
 	if t == nil {
 		return
@@ -120,8 +122,8 @@
 	}
 }
 
-// HandleDirectRequest answers what another process sent in a call of its own, and never with nil: one of an
-// older release does not take words there and answers nothing.
+// HandleDirectRequest answers a message that a peer sent in a call made only for crash updates. The
+// answer is never nil: a nil answer marks a peer of an older release, which ignores updates there.
 func (t *CrashGossip) HandleDirectRequest(in *CrashMessage) *CrashMessage {
 	if out := t.HandleRequest(in); out != nil {
 		return out
@@ -129,7 +131,7 @@
 	return &CrashMessage{Cursor: in.Known}
 }
 
-// HandleRequest answers what another process sent, with nil for nothing new.
+// HandleRequest answers a message from a peer, with nil if there is nothing new.
 func (t *CrashGossip) HandleRequest(in *CrashMessage) *CrashMessage {
 	if t == nil {
 		return nil
@@ -145,7 +147,8 @@
 	}
 	out := t.updatesSince(0)
 	if out == nil && in.Known.Epoch != 0 {
-		// What it told the process that was here before is lost.
+		// The peer sent its updates to an earlier process at this address. An answer with the
+		// new epoch makes it send them again.
 		out = &CrashMessage{Cursor: CrashCursor{Epoch: t.epoch}}
 	}
 	return out
--- a/peer/crashes_test.go
+++ b/peer/crashes_test.go
@@ -10,7 +10,7 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// crashNode is a process's side with what it knows.
+// crashNode is the crash gossip of a process with its updates.
 type crashNode struct {
 	*CrashGossip
 	words  []route.CrashUpdate
@@ -34,7 +34,7 @@
 	return s
 }
 
-// exchange has one side speak to another, which may not answer.
+// exchange sends the node's message to another one, and simulates a failed call if that is nil.
 func (s *crashNode) exchange(addr netip.AddrPort, other *crashNode) (sent, answered *CrashMessage) {
 	sent = s.NewRequest(addr)
 	if other == nil {
@@ -46,11 +46,11 @@
 	return sent, answered
 }
 
-// Two processes that know of nothing send nothing; each word is told once, and again to a
-// process that was started anew or may not have heard it.
+// Two processes without updates send nothing. Each update is sent once, and again to a process
+// that was restarted or did not answer.
 func TestCrashGossip(t *testing.T) {
 	addr := netip.MustParseAddrPort("10.0.0.1:1")
-	word := func(n byte) route.CrashUpdate {
+	update := func(n byte) route.CrashUpdate {
 		return route.CrashUpdate{CrashKey: route.CrashKey{Print: route.Fingerprint{n}}}
 	}
 	a, b := newCrashNode(1), newCrashNode(2)
@@ -58,44 +58,44 @@
 	require.Nil(t, sent)
 	require.Nil(t, answered)
 
-	a.words = append(a.words, word(1))
+	a.words = append(a.words, update(1))
 	a.exchange(addr, nil)
 	sent, _ = a.exchange(addr, b)
-	require.Len(t, sent.Words, 1, "what got no answer is told again")
+	require.Len(t, sent.Words, 1, "updates of a failed call are sent again")
 	require.Contains(t, a.peers, addr)
 	a.exchange(addr, nil)
 	sent, _ = a.exchange(addr, b)
-	require.Empty(t, sent.Words, "what was told before a call that failed is not told again")
+	require.Empty(t, sent.Words, "updates sent before a failed call are not sent again")
 	require.Equal(t, 1, b.merged)
-	heard := b.HandleDirectRequest(sent)
-	require.NotNil(t, heard, "a call of its own is answered always")
-	require.Empty(t, heard.Words)
+	answer := b.HandleDirectRequest(sent)
+	require.NotNil(t, answer, "a separate call always gets an answer")
+	require.Empty(t, answer.Words)
 	for range 3 {
 		sent, answered = a.exchange(addr, b)
-		require.Equal(t, &CrashMessage{Known: CrashCursor{Epoch: 2, Next: 1}}, sent, "the cursor alone")
+		require.Equal(t, &CrashMessage{Known: CrashCursor{Epoch: 2, Next: 1}}, sent, "only the cursor")
 		require.Nil(t, answered)
 	}
-	b.words = append(b.words, word(2))
+	b.words = append(b.words, update(2))
 	_, answered = a.exchange(addr, b)
 	require.Len(t, answered.Words, 1)
 
-	again := newCrashNode(3)
-	a.exchange(addr, again)
-	a.exchange(addr, again)
-	require.NotZero(t, again.merged)
-	require.Contains(t, again.words, word(1), "a process that was started anew hears all")
-	require.Contains(t, again.words, word(2))
+	restarted := newCrashNode(3)
+	a.exchange(addr, restarted)
+	a.exchange(addr, restarted)
+	require.NotZero(t, restarted.merged)
+	require.Contains(t, restarted.words, update(1), "a restarted process receives all updates")
+	require.Contains(t, restarted.words, update(2))
 
-	fresh := newCrashNode(4)
-	fresh.exchange(addr, a)
-	require.Contains(t, fresh.words, word(1), "one that asks hears all")
+	newcomer := newCrashNode(4)
+	newcomer.exchange(addr, a)
+	require.Contains(t, newcomer.words, update(1), "a new process that calls receives all updates")
 
 	var none *CrashGossip
 	require.Nil(t, none.NewRequest(addr))
-	require.Nil(t, none.HandleRequest(&CrashMessage{Words: []route.CrashUpdate{word(9)}}))
+	require.Nil(t, none.HandleRequest(&CrashMessage{Words: []route.CrashUpdate{update(9)}}))
 }
 
-// Processes that do not answer any more are forgotten once there are too many.
+// The positions of processes that no longer answer are deleted once there are too many.
 func TestCrashGossipBounded(t *testing.T) {
 	a := newCrashNode(1)
 	a.words = append(a.words, route.CrashUpdate{CrashKey: route.CrashKey{Print: route.Fingerprint{1}}})
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,3 +1,4 @@
-// Package peer carries what pathhead's processes tell each other: gossip of
-// their states over net/rpc, and the configuration that a peer serves under.
+// Package peer implements the calls between pathhead's processes over net/rpc:
+// gossip of their states, relays of large fleets, notices about requests, and
+// the transfer of the configuration.
 package peer
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -15,10 +15,10 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The bounds of gossip: which part of its live peers a round exchanges with, at
-// least how many, and how many entries of others an answer carries at most. A fleet
-// of more than largeFleetSize processes takes the lower ones and half as many rounds,
-// which keeps a process under 10 KB/s.
+// The parameters of gossip: the share of its live peers that a round exchanges with, the
+// minimum number of them, and the maximum number of entries of other processes in an answer.
+// A process with largeFleetSize live peers or more uses the lower values and half as many
+// rounds, which keeps its gossip traffic under 10 KB/s.
 const (
 	largeFleetSize           = 16
 	fanoutRatio              = 0.4
@@ -28,11 +28,11 @@
 	largeFleetForwardEntries = 3
 )
 
-// recentWindow is how long after a peer's last word it counts as heard of lately. In a
-// small fleet any two processes exchange within it in 998 of 1,000 cases.
+// recentWindow is how long a peer counts as recently updated after the last entry of it. In a
+// small fleet any two processes exchange within this time with a probability of 0.998.
 const recentWindow = 1500 * time.Millisecond
 
-// Gossip keeps a process's view of its peers by exchanging with a few at a time.
+// Gossip maintains a process's view of its peers by exchanging state with a few at a time.
 type Gossip struct {
 	id             string
 	client         *Client
@@ -40,8 +40,8 @@
 	payload        func(now time.Time) Payload
 	onConfigStatus func(begun time.Time, w fleet.ConfigStatus)
 	newestWeights  func(now time.Time) []route.NewestUpdate
-	// receivedNewest takes what a peer told of the newest weights.
-	onNewestWeights func(begun time.Time, peer string, words []route.NewestUpdate)
+	// onNewestWeights receives what a peer knows of the newest weights.
+	onNewestWeights func(begun time.Time, peer string, updates []route.NewestUpdate)
 	relays          func() []fleet.Member
 	ownEntryOnly    bool
 	onRelays        func([]fleet.Member)
@@ -52,39 +52,40 @@
 	rng  *rand.Rand
 	last time.Time
 	now  clock.Clock
-	// quiet says that peers seen and lost are no events.
+	// suppressEvents turns off the events for peers that appear and disappear.
 	suppressEvents bool
 }
 
-// GossipConfig describes a process that gossips.
+// GossipConfig configures the gossip of a process.
 type GossipConfig struct {
 	ID      string
 	Addr    netip.AddrPort
 	Seeds   []netip.AddrPort
 	Timeout time.Duration
 	Seed    uint64
-	// Clock tells the time by which peers count as heard; nil is the steady one.
+	// Clock is the clock by which peers expire; nil means [clock.Steady].
 	Clock clock.Clock
-	// Payload returns what the process says of itself.
+	// Payload returns the state that the process publishes about itself.
 	Payload func(now time.Time) Payload
-	// Heard takes a peer's word on configuration, got by a call that began at begun.
+	// OnConfigStatus receives a peer's configuration status from the answer to a call that began at
+	// begun, or from the peer's own call if begun is zero.
 	OnConfigStatus func(begun time.Time, w fleet.ConfigStatus)
-	// Newest returns what the process knows of the newest weights of models, and
-	// OnNewestWeights takes what a peer told, as Heard does. Both may be nil.
+	// NewestWeights returns what the process knows of the newest weights of models, and
+	// OnNewestWeights receives what a peer knows; begun is as in OnConfigStatus. Both may be nil.
 	NewestWeights   func(now time.Time) []route.NewestUpdate
-	OnNewestWeights func(begun time.Time, peer string, words []route.NewestUpdate)
-	// Alone says that messages have no entries of others.
+	OnNewestWeights func(begun time.Time, peer string, updates []route.NewestUpdate)
+	// OwnEntryOnly omits the entries of other processes from answers.
 	OwnEntryOnly bool
-	// Relays returns the relays of the fleet, where it is large, and OnRelays
-	// takes those that a peer told of. Both may be nil.
+	// Relays returns the relays of a large fleet, and OnRelays receives those that a
+	// peer knows. Both may be nil.
 	Relays   func() []fleet.Member
 	OnRelays func(relays []fleet.Member)
-	// Crashes are the words on targets that ended under requests; it may be nil.
+	// Crashes exchanges updates on crashed targets; it may be nil.
 	Crashes *CrashGossip
 }
 
-// NewGossip returns the gossip of a process that calls its peers through p.
-func NewGossip(cfg GossipConfig, p *Client, rec *event.Recorder) *Gossip {
+// NewGossip returns the gossip of a process that calls its peers through client and records events in rec.
+func NewGossip(cfg GossipConfig, client *Client, rec *event.Recorder) *Gossip {
 	if cfg.Relays == nil {
 		cfg.Relays = func() []fleet.Member { return nil }
 		cfg.OnRelays = func([]fleet.Member) {}
@@ -99,7 +100,7 @@
 	epoch := time.Now().UnixNano()
 	return &Gossip{
 		id:             cfg.ID,
-		client:         p,
+		client:         client,
 		rec:            rec,
 		payload:        cfg.Payload,
 		onConfigStatus: cfg.OnConfigStatus,
@@ -118,7 +119,7 @@
 	}
 }
 
-// Round exchanges with a few peers at once and notes which were lost.
+// Round exchanges with a few peers in parallel and expires those that timed out.
 func (g *Gossip) Round(ctx context.Context) {
 	n := g.fanout()
 	g.mu.Lock()
@@ -128,7 +129,7 @@
 	g.expire()
 }
 
-// fanout is how many peers a round exchanges with.
+// fanout returns the number of peers that a round exchanges with.
 func (g *Gossip) fanout() int {
 	if g.large() {
 		return largeFleetFanout
@@ -136,7 +137,7 @@
 	return max(minFanout, int(math.Ceil(fanoutRatio*float64(len(g.Live())))))
 }
 
-// Period returns the time between rounds for a small fleet's period.
+// Period returns the time between rounds, given the one for a small fleet.
 func (g *Gossip) Period(small time.Duration) time.Duration {
 	if g.large() {
 		return 2 * small
@@ -146,25 +147,25 @@
 
 func (g *Gossip) large() bool { return len(g.Live()) >= largeFleetSize }
 
-// SetSeeds replaces the addresses that are tried besides those of live peers.
+// SetSeeds replaces the addresses that are tried in addition to those of live peers.
 func (g *Gossip) SetSeeds(seeds []netip.AddrPort) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view.SetSeeds(seeds)
 }
 
-// SuppressPeerEvents makes peers that are seen and lost no events: in a fleet whose processes
-// do not all talk to each other that says nothing.
-func (g *Gossip) SuppressPeerEvents(quiet bool) {
+// SuppressPeerEvents turns the events for peers that appear and disappear off or on. In a fleet
+// whose processes do not all exchange with each other these events carry no information.
+func (g *Gossip) SuppressPeerEvents(suppress bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.suppressEvents = quiet
+	g.suppressEvents = suppress
 }
 
-// ExchangeWith exchanges with the processes at the addresses.
+// ExchangeWith exchanges with the processes at the given addresses.
 func (g *Gossip) ExchangeWith(ctx context.Context, addrs []netip.AddrPort) { g.exchangeAll(ctx, addrs) }
 
-// Expire notes which peers were lost, where no rounds do.
+// Expire expires the peers that timed out, for processes that run no rounds.
 func (g *Gossip) Expire() { g.expire() }
 
 // ExchangeWithAll exchanges with every seed and live peer, and returns their addresses.
@@ -185,37 +186,38 @@
 }
 
 func (g *Gossip) exchange(ctx context.Context, addr netip.AddrPort) {
-	begun := g.now()
-	half := g.localMessage("", 0)
-	half.Crashes = g.crashes.NewRequest(addr)
-	out, err := g.client.Exchange(ctx, addr, half)
+	start := g.now()
+	message := g.localMessage("", 0)
+	message.Crashes = g.crashes.NewRequest(addr)
+	out, err := g.client.Exchange(ctx, addr, message)
 	if err != nil {
 		g.crashes.HandleFailure(addr)
 		return
 	}
-	g.crashes.HandleResponse(addr, half.Crashes, out.Crashes)
+	g.crashes.HandleResponse(addr, message.Crashes, out.Crashes)
 	g.merge(out)
-	g.onConfigStatus(begun, out.Word)
-	g.onNewestWeights(begun, out.From, out.Newest)
+	g.onConfigStatus(start, out.Word)
+	g.onNewestWeights(start, out.From, out.Newest)
 }
 
-// Exchange answers a peer's half with the own, and with what others said where the
-// two have not heard of the same processes lately. What the peer says of newer
-// configuration and weights is heard as unconfirmed, since it is not known how long it
-// was on its way.
+// Exchange answers a peer's message with the local one. The answer has entries of other
+// processes if the two have not received entries of the same ones recently. Newer configuration
+// and weights that the peer reports count as unconfirmed, since it is unknown how long the
+// message was in transit.
 func (g *Gossip) Exchange(in Exchange) Exchange {
 	g.merge(in)
 	g.onConfigStatus(time.Time{}, fleet.ConfigStatus{Revision: in.Word.Revision, ConfirmedAge: -1})
 	g.onNewestWeights(time.Time{}, in.From, in.Newest)
 	out := g.localMessage(in.From, g.forwardLimit(in.Fresh))
 	out.Crashes = g.crashes.HandleRequest(in.Crashes)
-	if later, ok := g.supersedingEntry(in); ok {
-		out.Entries = append(out.Entries, later)
+	if superseding, ok := g.supersedingEntry(in); ok {
+		out.Entries = append(out.Entries, superseding)
 	}
 	return out
 }
 
-// supersedingEntry returns the life of a peer that keeps its present one from being heard.
+// supersedingEntry returns the entry of an earlier start of a peer if its higher epoch keeps the
+// peer's present entry from being accepted. The peer then continues with an epoch above it.
 func (g *Gossip) supersedingEntry(in Exchange) (Entry, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -227,9 +229,9 @@
 	return Entry{}, false
 }
 
-// forwardLimit is how many entries of others a peer gets that heard of the processes
-// that fresh names. Among those that all talk to each other that is none, since
-// each one's own word is newer.
+// forwardLimit returns the number of entries of other processes for a peer, given the digest of
+// the processes of which it recently received entries. It is zero if these are the same ones
+// here, since those processes publish newer entries themselves.
 func (g *Gossip) forwardLimit(fresh uint64) int {
 	g.mu.Lock()
 	own := g.view.Digest(g.now(), recentWindow)
@@ -238,7 +240,7 @@
 	case fresh == own, g.ownEntryOnly:
 		return 0
 	case len(g.relays()) > 0:
-		// What others say of themselves is the relays' to tell.
+		// The relays distribute the states of the other processes.
 		return 0
 	case g.large():
 		return largeFleetForwardEntries
@@ -252,19 +254,19 @@
 		g.onRelays(in.Relays)
 	}
 	g.mu.Lock()
-	joined := g.view.Merge(g.now(), in.Entries)
+	appeared := g.view.Merge(g.now(), in.Entries)
 	if g.suppressEvents {
-		joined = nil
+		appeared = nil
 	}
 	g.mu.Unlock()
-	for _, id := range joined {
+	for _, id := range appeared {
 		g.rec.Record(event.Event{Code: event.PeerSeen, Detail: id})
 	}
 }
 
-// localMessage is what this process tells a peer: its own entry, and at most relay of those
-// of processes other than the two.
-func (g *Gossip) localMessage(to string, relay int) Exchange {
+// localMessage returns the message to a peer: the local entry, and at most forward entries of
+// processes other than the two.
+func (g *Gossip) localMessage(to string, forward int) Exchange {
 	stamp := g.rec.Clock().Now()
 	now := g.now()
 	payload := g.payload(now)
@@ -272,15 +274,15 @@
 	newest := g.newestWeights(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	entries := g.view.Message(now, g.rng, payload, relay)
+	entries := g.view.Message(now, g.rng, payload, forward)
 	return Exchange{
 		From: g.id, Stamp: stamp, Word: payload.Word, Newest: newest, Relays: relays, Fresh: g.view.Digest(now, recentWindow),
 		Entries: slices.DeleteFunc(entries, func(e Entry) bool { return e.ID == to }),
 	}
 }
 
-// BroadcastPlaced tells all live peers at once of a request that takes a target long. One
-// that does not hear of it hears of the load with the next exchange.
+// BroadcastPlaced notifies all live peers in parallel of a request with a long prefill.
+// A peer that misses the notice learns of the load with the next exchange.
 func (g *Gossip) BroadcastPlaced(ctx context.Context, p route.PlacementReport) {
 	var wg sync.WaitGroup
 	for _, e := range g.Live() {
@@ -289,13 +291,13 @@
 	wg.Wait()
 }
 
-// SendPlaced tells one process of a request that takes a target long.
+// SendPlaced notifies one process of a request with a long prefill.
 func (g *Gossip) SendPlaced(ctx context.Context, addr netip.AddrPort, p route.PlacementReport) {
-	// An error is seen in the next round too, which tells the same.
+	// The error is ignored: the next round sends the same load and meets the same fault.
 	_ = g.client.Placed(ctx, addr, PlacedNotice{From: g.id, Epoch: g.view.Epoch(), Placed: p})
 }
 
-// Placed takes a peer's word on a request.
+// Placed applies a peer's notice of a placed request.
 func (g *Gossip) Placed(w PlacedNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -319,7 +321,7 @@
 	}
 }
 
-// Status is a live peer as operators see it.
+// Status describes a live peer to operators.
 type Status struct {
 	Name     string         `json:"name"`
 	Kind     string         `json:"kind"`
@@ -328,7 +330,7 @@
 	Draining bool           `json:"draining"`
 }
 
-// Status returns the live peers as operators see them.
+// Status describes the live peers to operators.
 func (g *Gossip) Status() []Status {
 	var out []Status
 	for _, e := range g.Live() {
@@ -340,14 +342,14 @@
 	return out
 }
 
-// Live returns the entries of the peers heard of lately.
+// Live returns the entries of the peers that have not timed out.
 func (g *Gossip) Live() []Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.view.Live(g.now())
 }
 
-// LiveWithAge returns the same entries, each with its age here.
+// LiveWithAge returns the entries of the live peers, each with the time since it was updated here.
 func (g *Gossip) LiveWithAge() []fleet.AgedEntry[Payload] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/peer/gossip_test.go
+++ b/peer/gossip_test.go
@@ -15,13 +15,13 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// gossipNode is a process that only gossips; it notes the answers that it gave.
+// gossipNode is a process that only gossips; it records its answers.
 type gossipNode struct {
 	*Gossip
 	addr netip.AddrPort
-	// state is what the process says of its requests.
+	// state is the state of its requests that the process publishes.
 	state route.PeerState
-	// newest is what it knows of the newest weights, heard what it was told of them.
+	// newest is what it knows of the newest weights, received what peers sent about them.
 	newest   []route.NewestUpdate
 	received []receivedNewest
 
@@ -29,7 +29,7 @@
 	answers []Exchange
 }
 
-// receivedNewest is a word on the newest weights as it was heard.
+// receivedNewest is an update on the newest weights as it was received.
 type receivedNewest struct {
 	initiated bool
 	peer      string
@@ -48,15 +48,15 @@
 // Config implements [Handler].
 func (g *gossipNode) Config() (fleet.Document, bool) { return fleet.Document{}, false }
 
-// last is the last answer given.
+// last returns the last answer.
 func (g *gossipNode) last() Exchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.answers[len(g.answers)-1]
 }
 
-// startGossipNodes starts processes that know each other's addresses; none
-// exchanges before it is told to.
+// startGossipNodes starts processes that know each other's addresses and
+// exchange only when a test calls them.
 func startGossipNodes(t *testing.T, names ...string) []*gossipNode {
 	t.Helper()
 	var (
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestGossipSendsOwnEntryOnly checks that processes which have all heard of each
-// other tell only what they say of themselves: each one's own word is newer.
+// TestGossipSendsOwnEntryOnly checks that processes that have all received each
+// other's entries send only their own, since each one's own entry is the newest.
 func TestGossipSendsOwnEntryOnly(t *testing.T) {
 	g := startGossipNodes(t, "a", "b", "c")
 	a, b, c := g[0], g[1], g[2]
@@ -114,23 +114,23 @@
 	require.Equal(t, "b", b.last().Entries[0].ID)
 }
 
-// TestGossipForwardsUnknownEntry checks that a process which has not heard of another
-// gets that one's word from a third.
+// TestGossipForwardsUnknownEntry checks that a process without the entry of
+// another one receives it from a third.
 func TestGossipForwardsUnknownEntry(t *testing.T) {
 	g := startGossipNodes(t, "a", "b", "c")
 	a, b, c := g[0], g[1], g[2]
 	b.exchangeWith(t.Context(), c)
 	a.exchangeWith(t.Context(), b)
 	require.Len(t, b.last().Entries, 2)
-	var heard []string
+	var ids []string
 	for _, e := range a.Live() {
-		heard = append(heard, e.ID)
+		ids = append(ids, e.ID)
 	}
-	require.Equal(t, []string{"b", "c"}, heard)
+	require.Equal(t, []string{"b", "c"}, ids)
 }
 
-// TestGossipPlacedNotice checks that a word on a request changes what a peer knows of
-// the sender's load at that target alone, and that one of an earlier process does not.
+// TestGossipPlacedNotice checks that a notice of a placed request changes only the sender's
+// load at that target, and that a notice of an earlier epoch changes nothing.
 func TestGossipPlacedNotice(t *testing.T) {
 	g := startGossipNodes(t, "a", "b")
 	a, b := g[0], g[1]
@@ -144,8 +144,8 @@
 	require.ElementsMatch(t, []route.Load{{Target: x, InFlight: 2, Prefill: 9000}, {Target: y, InFlight: 2}}, loads())
 }
 
-// TestGossipNewestWeights checks that both sides of an exchange hear what the other knows
-// of the newest weights, and that only the one who asked knows since when it was on its way.
+// TestGossipNewestWeights checks that both sides of an exchange receive what the other knows
+// of the newest weights, and that only the caller knows when the exchange began.
 func TestGossipNewestWeights(t *testing.T) {
 	g := startGossipNodes(t, "a", "b")
 	a, b := g[0], g[1]
@@ -156,15 +156,15 @@
 	require.Equal(t, []receivedNewest{{peer: "a", words: a.newest}}, b.received)
 }
 
-// TestGossipClockSetBack checks that a process which is started anew after its clock
-// was set back is heard at once: the order of its lives does not hang on its clock.
+// TestGossipClockSetBack checks that peers accept a process that is restarted after its clock
+// was set back: the order of its epochs does not depend on its clock.
 func TestGossipClockSetBack(t *testing.T) {
 	g := startGossipNodes(t, "a", "b", "c")
 	a, b, c := g[0], g[1], g[2]
 	a.state = route.PeerState{Revision: 1}
 	a.exchangeWith(t.Context(), b, c)
 	b.exchangeWith(t.Context(), c)
-	// The new life has nothing of the old one but its name and address.
+	// The restarted process shares only its name and address with the earlier one.
 	a.mu.Lock()
 	a.state = route.PeerState{Revision: 2}
 	a.mu.Unlock()
@@ -181,8 +181,8 @@
 	}
 	a.exchangeWith(t.Context(), b)
 	a.exchangeWith(t.Context(), b)
-	require.EqualValues(t, 2, revision(b), "the second exchange of a new life is heard")
-	// The one that still knows the old life does not bring it back.
+	require.EqualValues(t, 2, revision(b), "the second exchange after the restart is accepted")
+	// A process that still has the old entry does not restore it.
 	c.exchangeWith(t.Context(), b)
 	require.EqualValues(t, 2, revision(b))
 	b.exchangeWith(t.Context(), c)
--- a/peer/list.go
+++ b/peer/list.go
@@ -8,40 +8,40 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// ListQuery asks a relay for a page of the list of targets, in the order of their addresses.
+// ListQuery requests a page of the list of targets, ordered by address, from a relay.
 type ListQuery struct {
-	// After is the last address of the page before, invalid for the first page.
+	// After is the last address of the previous page, invalid for the first page.
 	After netip.AddrPort
 }
 
-// ListPage is a page of the list. A list of ten thousand targets has some MB, which a slow link does
-// not carry within the time of a call.
+// ListPage is a page of the list of targets. A list of ten thousand targets takes several MB,
+// which a slow link cannot carry within the call timeout.
 type ListPage struct {
 	Entries []*route.Entry
 	More    bool
-	// News has the relay's cursor and the age of its reading at this page: changes since the first
-	// page's make the list whole.
+	// News has the relay's cursor and the age of its list at this page. The changes since the
+	// first page's cursor, applied to all pages, complete the list.
 	News RelayUpdate
 }
 
-// ListHandler answers such queries; a [Handler] may be one.
+// ListHandler answers list queries; a [Handler] may implement it.
 type ListHandler interface {
 	List(q ListQuery) (p ListPage, ok bool)
 }
 
-// List answers a query for a page of the list.
+// List returns a page of the list of targets.
 func (s peerService) List(in *ListQuery, out *ListPage) error {
 	h, ok := s.handler.(ListHandler)
 	if ok {
 		*out, ok = h.List(*in)
 	}
 	if !ok {
-		return errors.New("this process has no list of targets to tell")
+		return errors.New("this process serves no list of targets")
 	}
 	return nil
 }
 
-// List asks the process at addr for a page of the list of targets.
+// List requests a page of the list of targets from the process at addr.
 func (p *Client) List(ctx context.Context, addr netip.AddrPort, q ListQuery) (ListPage, error) {
 	return invoke[ListPage](ctx, p, addr, "List", &q)
 }
--- a/peer/names_test.go
+++ b/peer/names_test.go
@@ -12,8 +12,8 @@
 	"github.com/pathhead/pathhead/internal/outer"
 )
 
-// TestNames guards the names that net/rpc and gob write: a renamed method or field compiles, and a
-// process of another release misses it without an error.
+// TestNames checks the names that net/rpc and gob write. A renamed method or field compiles, but
+// a process of another release does not receive it and reports no error.
 func TestNames(t *testing.T) {
 	service := reflect.TypeFor[peerService]()
 	require.NotZero(t, service.NumMethod())
@@ -29,7 +29,7 @@
 }
 
 // gobNames returns the paths of all fields that gob writes for a type, with the kinds that it compares.
-// The names of the types are left out, since gob does not compare them.
+// Names of types are omitted, since gob does not compare them.
 func gobNames(path string, typ reflect.Type, within []reflect.Type) []string {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakePeer answers with a fixed half and document.
+// fakePeer answers with a fixed message and document.
 type fakePeer struct{ message Exchange }
 
 func (f fakePeer) Exchange(Exchange) Exchange { return f.message }
@@ -27,7 +27,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
-	half := Exchange{
+	message := Exchange{
 		From: "p", Stamp: event.Stamp{Time: time.Unix(5, 0).UTC(), N: 2}, Word: fleet.ConfigStatus{Revision: 3},
 		Entries: []Entry{{ID: "p", Addr: addr, Payload: Payload{Kind: KindRouter, State: route.PeerState{
 			Leaving: []route.TargetKey{{Target: addr, Incarnation: "i"}},
@@ -36,17 +36,17 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = Serve(l, fakePeer{half})
+		_ = Serve(l, fakePeer{message})
 	}()
-	told := make(map[string][2]int)
+	observed := make(map[string][2]int)
 	p := NewClient(time.Second, nil, WithObserver(func(to netip.AddrPort, method string, sent, read int) {
 		require.Equal(t, addr, to)
-		was := told[method]
-		told[method] = [2]int{was[0] + sent, was[1] + read}
+		was := observed[method]
+		observed[method] = [2]int{was[0] + sent, was[1] + read}
 	}))
 	got, err := p.Exchange(t.Context(), addr, Exchange{From: "q"})
 	require.NoError(t, err)
-	require.Equal(t, half, got)
+	require.Equal(t, message, got)
 	d, ok, err := p.Config(t.Context(), addr, "q", 2)
 	require.NoError(t, err)
 	require.True(t, ok)
@@ -55,15 +55,15 @@
 	require.Positive(t, sent)
 	require.Positive(t, read)
 	p.Close()
-	require.Equal(t, sent, int64(told["Exchange"][0]+told["Piece"][0]), "each byte is some call's")
-	require.Equal(t, read, int64(told["Exchange"][1]+told["Piece"][1]))
+	require.Equal(t, sent, int64(observed["Exchange"][0]+observed["Piece"][0]), "each byte belongs to a call")
+	require.Equal(t, read, int64(observed["Exchange"][1]+observed["Piece"][1]))
 	require.NoError(t, l.Close())
 	<-done
 	_, err = p.Exchange(t.Context(), addr, Exchange{})
 	require.Error(t, err)
 }
 
-// slowPeer answers exchanges only once it is let go.
+// slowPeer answers exchanges only once release is closed.
 type slowPeer struct {
 	fakePeer
 	release chan struct{}
@@ -74,8 +74,8 @@
 	return s.fakePeer.Exchange(in)
 }
 
-// TestPeersCallerCancels checks that a caller who does not wait for an answer leaves
-// the connection to others.
+// TestPeersCallerCancels checks that a cancelled call does not close the connection,
+// which other calls still use.
 func TestPeersCallerCancels(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -102,33 +102,33 @@
 	require.NoError(t, <-done)
 }
 
-// lateMembers is how many relays a late answer tells of: enough for reading it to take
-// about as long as the way of a call.
+// lateMembers is the number of relays in a late answer: enough for decoding it to take about
+// as long as the transfer of a call.
 const lateMembers = 2000
 
-// TestPeersLateAnswer checks that a caller who gives a call up gets nothing of an answer
-// that is read at that moment.
+// TestPeersLateAnswer checks that a call that times out while its answer is decoded returns
+// no part of that answer.
 func TestPeersLateAnswer(t *testing.T) {
-	half := Exchange{From: "p", Relays: make([]fleet.Member, lateMembers)}
-	for i := range half.Relays {
-		half.Relays[i] = fleet.Member{ID: "some member", Epoch: int64(i + 1)}
+	message := Exchange{From: "p", Relays: make([]fleet.Member, lateMembers)}
+	for i := range message.Relays {
+		message.Relays[i] = fleet.Member{ID: "some member", Epoch: int64(i + 1)}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	done := make(chan error, 1)
-	go func() { done <- Serve(l, fakePeer{half}) }()
+	go func() { done <- Serve(l, fakePeer{message}) }()
 	p := NewClient(time.Minute, nil)
-	begun := time.Now()
+	start := time.Now()
 	_, err = p.Exchange(t.Context(), addr, Exchange{From: "q"})
 	require.NoError(t, err)
-	took := time.Since(begun)
+	took := time.Since(start)
 	for i := range 100 {
 		ctx, cancel := context.WithTimeout(t.Context(), took*time.Duration(i+1)/100)
 		got, err := p.Exchange(ctx, addr, Exchange{From: "q"})
 		cancel()
 		if err != nil {
-			require.Zero(t, len(got.Relays), "part of an answer that came too late")
+			require.Zero(t, len(got.Relays), "part of a late answer")
 		}
 	}
 	p.Close()
--- a/peer/peers.go
+++ b/peer/peers.go
@@ -25,22 +25,22 @@
 	KindFleet  = "fleet"
 )
 
-// Payload is what a process says of itself in gossip.
+// Payload is the state that a process publishes about itself by gossip.
 type Payload struct {
 	Kind     string
 	Draining bool
-	Door     netip.AddrPort // the operators' door
-	// Zone is the failure domain the process stands in, Power how much work it can take beside others.
+	Door     netip.AddrPort // address of the operators' listener
+	// Zone is the failure domain of the process, Power its capacity relative to other processes.
 	Zone  string
 	Power float64
 	Word  fleet.ConfigStatus
 	State route.PeerState
 }
 
-// Entry is one process's entry in gossip.
+// Entry is the gossip entry of one process.
 type Entry = fleet.Entry[Payload]
 
-// Exchange is one half of a gossip exchange; the answer has the same form.
+// Exchange is a message of a gossip exchange; request and answer have the same form.
 type Exchange struct {
 	From  string
 	Stamp event.Stamp
@@ -48,32 +48,32 @@
 	// Newest is what the sender knows of the newest weights of models.
 	Newest  []route.NewestUpdate
 	Entries []Entry
-	// Fresh names the processes that the sender heard of lately, itself among them.
+	// Fresh is a digest of the processes of which the sender recently received entries, and itself.
 	Fresh uint64
-	// Relays are the relays of a large fleet, which tell a newcomer of it.
+	// Relays are the relays of a large fleet, from which a new process learns its members.
 	Relays  []fleet.Member
 	Crashes *CrashMessage
 }
 
-// Handler answers peers' calls.
+// Handler answers the calls of peers.
 type Handler interface {
-	// Exchange takes a peer's half and returns the own.
+	// Exchange processes a peer's message and returns the local one.
 	Exchange(in Exchange) Exchange
-	// Config returns the document in force here; ok is false if there is none.
+	// Config returns the configuration in force; ok is false if there is none.
 	Config() (d fleet.Document, ok bool)
 }
 
-// PlacedNotice is a process's word on a request that takes a target long.
+// PlacedNotice notifies a peer of a placed request with a long prefill.
 type PlacedNotice struct {
 	From   string
 	Epoch  int64
 	Placed route.PlacementReport
 }
 
-// PlacedHandler takes such words; a [Handler] may be one.
+// PlacedHandler processes notices of placed requests; a [Handler] may implement it.
 type PlacedHandler interface{ Placed(w PlacedNotice) }
 
-// Placed takes a word on a request.
+// Placed processes a notice of a placed request.
 func (s peerService) Placed(in *PlacedNotice, _ *bool) error {
 	if h, ok := s.handler.(PlacedHandler); ok {
 		h.Placed(*in)
@@ -81,19 +81,19 @@
 	return nil
 }
 
-// Placed tells the process at addr of a request.
+// Placed notifies the process at addr of a placed request.
 func (p *Client) Placed(ctx context.Context, addr netip.AddrPort, w PlacedNotice) error {
 	_, err := invoke[bool](ctx, p, addr, "Placed", &w)
 	return err
 }
 
-// HoldersQuery asks for the targets that lately were sent some blocks.
+// HoldersQuery requests the targets to which some blocks were recently sent.
 type HoldersQuery struct{ Blocks []route.Block }
 
-// HoldersAnswer answers a [HoldersQuery].
+// HoldersAnswer is the answer to a [HoldersQuery].
 type HoldersAnswer struct{ Fills []route.Fill }
 
-// HoldersHandler answers such queries; a [Handler] may be one.
+// HoldersHandler answers queries for the holders of blocks; a [Handler] may implement it.
 type HoldersHandler interface {
 	Holders(q HoldersQuery) HoldersAnswer
 }
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Holders asks the process at addr for the holders of blocks.
+// Holders requests the holders of blocks from the process at addr.
 func (p *Client) Holders(ctx context.Context, addr netip.AddrPort, q HoldersQuery) (HoldersAnswer, error) {
 	return invoke[HoldersAnswer](ctx, p, addr, "Holders", &q)
 }
@@ -114,7 +114,7 @@
 // peerName is the service's name in net/rpc.
 const peerName = "Peer"
 
-// peerService has the method forms that net/rpc asks for.
+// peerService wraps a [Handler] in methods of the form that net/rpc requires.
 type peerService struct {
 	handler Handler
 	packed  *packer
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Open opens the peers' door of a process; cfg is nil for plain TCP.
+// Open opens the listener for peers; cfg is nil for plain TCP.
 func Open(addr netip.AddrPort, cfg *tls.Config, h Handler) (door.Door, error) {
 	l, err := door.Listen(addr, cfg)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}, nil
 }
 
-// Serve answers peers on a listener until it is closed, then ends their connections.
+// Serve answers peers on a listener until it is closed, and then closes their connections.
 func Serve(l net.Listener, h Handler) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(peerName, peerService{handler: h, packed: new(packer)}); err != nil {
@@ -163,7 +163,7 @@
 			return nil
 		}
 		if err != nil {
-			return errs.Errorf("peers' door: %w", err)
+			return errs.Errorf("accept peer connection: %w", err)
 		}
 		mu.Lock()
 		conns[c] = true
@@ -183,7 +183,7 @@
 	dial    Dial
 	observe Observer
 
-	// taking is the document that is being taken from peers, piece by piece.
+	// download is the configuration that is being downloaded from peers.
 	download downloadState
 
 	mu      sync.Mutex
@@ -193,7 +193,7 @@
 	read    int64
 }
 
-// Dial opens a connection to a process's door.
+// Dial opens a connection to the process at addr.
 type Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 
 // ClientOption changes a [Client] at its construction.
@@ -204,12 +204,12 @@
 	return func(p *Client) { p.dial = d }
 }
 
-// WithObserver sets the function that hears of the bytes of each message; it must not block.
+// WithObserver sets the function that is called with the size of each message; it must not block.
 func WithObserver(o Observer) ClientOption {
 	return func(p *Client) { p.observe = o }
 }
 
-// NewClient returns a caller whose calls each end within timeout; cfg is nil for plain TCP.
+// NewClient returns a client whose calls each end within timeout; cfg is nil for plain TCP.
 func NewClient(timeout time.Duration, cfg *tls.Config, opts ...ClientOption) *Client {
 	p := &Client{
 		timeout: timeout,
@@ -224,12 +224,12 @@
 	return p
 }
 
-// Exchange gossips with the process at addr.
+// Exchange sends a gossip message to the process at addr and returns its answer.
 func (p *Client) Exchange(ctx context.Context, addr netip.AddrPort, in Exchange) (Exchange, error) {
 	return invoke[Exchange](ctx, p, addr, "Exchange", &in)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Client) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,8 +252,8 @@
 	return sent, read
 }
 
-// invoke makes one call and returns its answer. The answer to a call that was given
-// up may still be read into its place, which is nobody's then.
+// invoke makes one call and returns its answer. A late answer to an abandoned call is decoded
+// into a value that nothing refers to any more.
 func invoke[T any](ctx context.Context, p *Client, addr netip.AddrPort, method string, in any) (T, error) {
 	out := new(T)
 	if err := p.call(ctx, addr, method, in, out); err != nil {
@@ -263,9 +263,9 @@
 	return *out, nil
 }
 
-// call makes one call; after a failure the connection is not used again, since it
-// may have gone silent. A caller that waits for less than the client's time says
-// nothing of the connection: its late answer is dropped.
+// call makes one call. After a failure it closes the connection, which may have stopped
+// responding. If the caller's own context ends before the client's timeout, the connection
+// stays open, since this is no sign of a fault; the late answer is dropped.
 func (p *Client) call(ctx context.Context, addr netip.AddrPort, method string, in, out any) error {
 	caller := ctx
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
@@ -317,7 +317,7 @@
 	return c, nil
 }
 
-// dialer opens TCP connections, with TLS where cfg is given.
+// dialer returns a function that opens TCP connections, with TLS if cfg is not nil.
 func dialer(cfg *tls.Config) Dial {
 	var d net.Dialer
 	open := d.DialContext
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -11,30 +11,30 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// RelayReport is what a process of a large fleet tells a relay.
+// RelayReport is the report of a process of a large fleet to a relay.
 type RelayReport struct {
 	Stamp event.Stamp
 	Word  fleet.RosterMessage[route.PeerState]
-	// Config is the reporter's word on the configuration.
+	// Config is the reporter's configuration status.
 	Config fleet.ConfigStatus
-	// Brief says that this is no report: the sender only asks who relays, or with Crashes
-	// only tells of these.
+	// Brief marks a message without a report: the sender only asks which processes are
+	// relays or, with Crashes, only sends crash updates.
 	Brief bool
-	// Asks says that the reporter wants news, after what Known has of them.
+	// Asks requests the changes after the position Known.
 	Asks  bool
 	Known RelayCursor
-	// Digest names the members that the reporter was told of last.
+	// Digest identifies the list of members that the reporter received last.
 	Digest  uint64
 	Crashes *CrashMessage
 }
 
-// RelayCursor says how much of a relay's news a process has; one of another epoch has none.
+// RelayCursor is a process's position in the changes at a relay; one with another epoch is void.
 type RelayCursor struct {
 	Epoch   int64
 	Entries int64
 	Beats   int64
 	Parts   int64
-	// Members is how much of the changes of members it has.
+	// Members is the position in the changes of members.
 	Members int64
 }
 
@@ -42,13 +42,14 @@
 type RelayAnswer struct {
 	Stamp event.Stamp
 	Word  fleet.RosterMessage[route.PeerState]
-	// Whole says that the word speaks for everyone but the reporter.
+	// Whole says that Word covers all processes except the reporter.
 	Whole bool
-	// Digest names the word's members; they are left out where the reporter knows them.
+	// Digest identifies the members in Word. Same says that the reporter has them already and
+	// that Word omits them.
 	Digest uint64
 	Same   bool
-	// Members are the changes of the members since the reporter's cursor, in place of the whole
-	// list, where Changed says so; MembersNext is where to go on.
+	// Members are the changes of members since the reporter's cursor, which replace the whole
+	// list if Changed is set; MembersNext is the position after them.
 	Members     []route.Change[string, fleet.Member]
 	Changed     bool
 	MembersNext int64
@@ -59,33 +60,34 @@
 	Crashes *CrashMessage
 }
 
-// RelayUpdate is what changed at a relay since a cursor.
+// RelayUpdate holds the changes at a relay since a cursor.
 type RelayUpdate struct {
 	Cursor RelayCursor
-	// ListAge is how long ago the reading of the list of targets began that this is as of.
+	// ListAge is the time since the relay began the read of the list of targets that the
+	// changes reflect.
 	ListAge time.Duration
-	// Entries are changes of what the list says, Beats the signs of life of targets
-	// whose entry says nothing new; Full ones replace what was told before.
+	// Entries are changed entries of the list, Beats the heartbeats of targets whose entry
+	// is unchanged; if the matching Full flag is set, they replace all earlier ones.
 	Entries     []route.Change[netip.AddrPort, *route.Entry]
 	EntriesFull bool
-	// Paged says that the whole list is to be asked for in pages.
+	// Paged says that the whole list must be requested in pages.
 	Paged     bool
 	Beats     []route.Change[netip.AddrPort, int64]
 	BeatsFull bool
 	Parts     route.PartsUpdate
 }
 
-// RecentNotice tells of requests that were placed just now. One that a relay passes on
-// is not passed on again to other relays.
+// RecentNotice notifies a peer of requests that were just placed. Relayed marks a notice forwarded by a
+// relay, which other relays do not forward again.
 type RecentNotice struct {
 	Recent  []route.SentRequest
 	Relayed bool
 }
 
-// RecentHandler takes such words; a [Handler] may be one.
+// RecentHandler processes notices of recent requests; a [Handler] may implement it.
 type RecentHandler interface{ Recent(w RecentNotice) }
 
-// Recent takes a word on requests that were placed just now.
+// Recent processes a notice of requests that were just placed.
 func (s peerService) Recent(in *RecentNotice, _ *bool) error {
 	if h, ok := s.handler.(RecentHandler); ok {
 		h.Recent(*in)
@@ -93,13 +95,13 @@
 	return nil
 }
 
-// Recent tells the process at addr of requests that were placed just now.
+// Recent notifies the process at addr of requests that were just placed.
 func (p *Client) Recent(ctx context.Context, addr netip.AddrPort, w RecentNotice) error {
 	_, err := invoke[bool](ctx, p, addr, "Recent", &w)
 	return err
 }
 
-// RelayHandler answers the reports of a large fleet's processes; a [Handler] may be one.
+// RelayHandler answers the reports of a large fleet's processes; a [Handler] may implement it.
 type RelayHandler interface {
 	Relay(in RelayReport) RelayAnswer
 }
@@ -108,13 +110,13 @@
 func (s peerService) Relay(in *RelayReport, out *RelayAnswer) error {
 	h, ok := s.handler.(RelayHandler)
 	if !ok {
-		return errors.New("this process relays nothing")
+		return errors.New("this process is not a relay")
 	}
 	*out = h.Relay(*in)
 	return nil
 }
 
-// Relay reports to the process at addr.
+// Relay sends a report to the relay at addr and returns its answer.
 func (p *Client) Relay(ctx context.Context, addr netip.AddrPort, in RelayReport) (RelayAnswer, error) {
 	return invoke[RelayAnswer](ctx, p, addr, "Relay", &in)
 }
