--- a/transport/doc.go
+++ b/transport/doc.go
@@ -1,5 +1,6 @@
-// Package transport speaks HTTP/1.1 to targets over connections that it keeps.
+// Package transport is an HTTP/1.1 client for targets with a pool of idle connections.
 //
-// Unlike net/http's client it never sends a request twice by itself, tells
-// whether any byte of one left, and tells a request's answer from surplus ones.
+// Unlike net/http's client it never retries a request by itself, reports
+// whether any byte of a request was sent, and skips answers that belong to
+// other requests.
 package transport
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -17,42 +17,42 @@
 	"github.com/pathhead/pathhead/internal/clock"
 )
 
-// The bounds of a connection.
+// Timeouts and sizes of a connection.
 const (
-	// defaultDialTimeout bounds the opening of a connection: targets are a few
-	// milliseconds away, and a lost opening packet is repeated only after a second.
+	// defaultDialTimeout bounds the opening of a connection. Targets are a few
+	// milliseconds away, and the kernel resends a lost SYN only after a second.
 	defaultDialTimeout = 600 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged. Machines that
-	// went dark are noticed by it; a lost packet is repeated after some 200 ms.
+	// userTimeout is how long sent bytes may stay unacknowledged, which detects machines
+	// that stopped responding. A lost packet is resent after about 200 ms.
 	userTimeout = 900 * time.Millisecond
-	// keepAliveInterval is the pause between probes of a connection on which nothing moves.
+	// keepAliveInterval is the time between keep-alive probes of a connection without traffic.
 	keepAliveInterval = time.Second
-	// defaultIdleTime is how long an unused connection is kept where the target names no time.
+	// defaultIdleTime is how long an idle connection is kept if the target states no timeout.
 	defaultIdleTime = 15 * time.Second
-	// idleMargin is how long before the time that a target names its connection is given up.
+	// idleMargin is how long before the idle timeout that a target states its connection is closed.
 	idleMargin = 500 * time.Millisecond
 	// readBuffer is the size of a connection's read buffer, in bytes; answers are mostly smaller.
 	readBuffer = 2 << 10
 )
 
-// The ways in which an attempt can fail before its answer.
+// The classes of errors before an answer.
 var (
-	// ErrUnsent says that no byte of a request left.
+	// ErrUnsent marks errors after which no byte of the request was sent.
 	ErrUnsent = errs.Tag("no byte was sent")
-	// ErrUnresponsive says that the target's machine gave no sign of life.
-	ErrUnresponsive = errs.Tag("the target's machine is silent")
+	// ErrUnresponsive marks errors of a target whose machine did not respond at all.
+	ErrUnresponsive = errs.Tag("the target's machine does not respond")
 )
 
-// ConnectionRefused reports whether an error says that no process listens at the target's address.
+// ConnectionRefused reports whether an error means that no process listens at the target's address.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// ClosedByTarget reports whether an error says that the target ended the connection, for
-// which it may have ended itself.
+// ClosedByTarget reports whether an error means that the target closed the connection,
+// possibly because its process ended.
 func ClosedByTarget(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Pool keeps connections to targets.
+// Pool holds the connections to targets.
 type Pool struct {
 	dialTimeout time.Duration
 	maxConns    func(netip.AddrPort) int
@@ -73,7 +73,7 @@
 	return func(p *Pool) { p.dialTimeout = d }
 }
 
-// WithMaxConns sets the bound of open connections to a target; zero means none.
+// WithMaxConns sets the maximum number of open connections to a target; zero means no limit.
 func WithMaxConns(f func(netip.AddrPort) int) Option {
 	return func(p *Pool) { p.maxConns = f }
 }
@@ -83,7 +83,7 @@
 	return func(p *Pool) { p.opened = f }
 }
 
-// WithClock sets the clock by which connections are kept and a process that stood still is noticed.
+// WithClock sets the clock by which idle connections expire and a suspension of this process is detected.
 func WithClock(c clock.Clock) Option {
 	return func(p *Pool) { p.now = c }
 }
@@ -110,14 +110,14 @@
 	pool   *Pool
 	target netip.AddrPort
 	r      *bufio.Reader
-	// until is when an idle connection is given up.
+	// expiresAt is when an idle connection is closed.
 	expiresAt time.Time
-	// releasedAt is when it was put back last.
+	// releasedAt is when the connection last became idle.
 	releasedAt time.Time
 	used       bool
 }
 
-// get returns a kept connection that is still good, or a new one.
+// get returns an idle connection that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context, target netip.AddrPort) (*conn, error) {
 	for {
 		c := p.takeIdle(target)
@@ -147,20 +147,20 @@
 	return nil
 }
 
-// closeLocked closes a connection that is in no list; the caller holds the lock.
+// closeLocked closes a connection that is not in the idle list; the caller holds the lock.
 func (p *Pool) closeLocked(c *conn) {
 	if p.open[c.target]--; p.open[c.target] <= 0 {
 		delete(p.open, c.target)
 	}
-	// The connection is of no more use whether closing it succeeds or not.
+	// The connection is not used again, whether closing it succeeds or not.
 	_ = c.Conn.Close()
 }
 
 func (p *Pool) dial(ctx context.Context, target netip.AddrPort) (*conn, error) {
 	p.mu.Lock()
-	if most := p.maxConns(target); most > 0 && p.open[target] >= most {
+	if limit := p.maxConns(target); limit > 0 && p.open[target] >= limit {
 		p.mu.Unlock()
-		return nil, ErrUnsent.Errorf("target %s: all %d connections are in use", target, most)
+		return nil, ErrUnsent.Errorf("target %s: all %d connections are in use", target, limit)
 	}
 	p.open[target]++
 	p.mu.Unlock()
@@ -200,8 +200,8 @@
 		errors.As(err, &ne) && ne.Timeout()
 }
 
-// noPendingInput reports whether nothing has come on an idle connection: neither its end
-// nor bytes that belong to no request.
+// noPendingInput reports whether an idle connection is open and has received nothing that
+// belongs to no request.
 func (c *conn) noPendingInput() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -224,14 +224,14 @@
 	return err == nil && quiet
 }
 
-// discard closes the connection for good.
+// discard closes the connection instead of returning it to the pool.
 func (c *conn) discard() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.closeLocked(c)
 }
 
-// release puts the connection back for the next request, for at most d.
+// release returns the connection to the pool, for at most d until the next request.
 func (c *conn) release(d time.Duration) {
 	p := c.pool
 	p.mu.Lock()
@@ -246,8 +246,8 @@
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// CheckReachable opens a connection to a target and keeps it for the next request. It
-// returns an error if the target's machine does not answer or takes none.
+// CheckReachable opens a connection to a target and keeps it idle for the next request. It
+// returns an error if the target's machine does not respond or refuses the connection.
 func (p *Pool) CheckReachable(ctx context.Context, target netip.AddrPort) error {
 	c, err := p.dial(ctx, target)
 	if err != nil {
@@ -257,45 +257,45 @@
 	return nil
 }
 
-// closeIdleSince closes the idle connections to a target on which nothing came since a
-// time. One that was in use since then has gone silent, and the others may have.
+// closeIdleSince closes the connections to a target that have been idle since the given time
+// or longer. A connection used since then has timed out, so these may not respond either.
 func (p *Pool) closeIdleSince(target netip.AddrPort, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[target][:0]
+	remaining := p.idle[target][:0]
 	for _, c := range p.idle[target] {
 		if c.releasedAt.After(since) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		p.closeLocked(c)
 	}
-	if p.idle[target] = kept; len(kept) == 0 {
+	if p.idle[target] = remaining; len(remaining) == 0 {
 		delete(p.idle, target)
 	}
 }
 
-// Sweep closes idle connections whose time is over and those to targets that are not wanted any more.
+// Sweep closes expired idle connections and those to targets that are no longer wanted.
 func (p *Pool) Sweep(wanted func(netip.AddrPort) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	for target, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
 			if now.Before(c.expiresAt) && wanted(target) {
-				kept = append(kept, c)
+				remaining = append(remaining, c)
 				continue
 			}
 			p.closeLocked(c)
 		}
-		if p.idle[target] = kept; len(kept) == 0 {
+		if p.idle[target] = remaining; len(remaining) == 0 {
 			delete(p.idle, target)
 		}
 	}
 }
 
-// Close ends the idle connections; those in use end with their requests.
+// Close closes the idle connections; those in use are closed when their requests end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/transport/retryafter.go
+++ b/transport/retryafter.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// maxRetryAfter bounds the rest that a target may ask for.
+// maxRetryAfter bounds the back-off that a target may request.
 const maxRetryAfter = time.Hour
 
-// RetryAfter reads for how long a target that turned a request away wants none: seconds or a date (RFC 9110,
-// 10.2.3), which is held against the target's own clock where it tells the time. It is zero where the target
-// asks for nothing, or for what is no time; of several values the longest counts.
+// RetryAfter returns how long a target that refused a request wants no further ones: the Retry-After header,
+// in seconds or as a date (RFC 9110, section 10.2.3). A date is compared with the target's own clock if the
+// answer has a Date header, and with now otherwise. The result is zero without a valid value; of several values
+// the longest counts.
 func RetryAfter(h http.Header, now time.Time) time.Duration {
 	if at, err := http.ParseTime(h.Get("Date")); err == nil {
 		now = at
 	}
-	rest := time.Duration(0)
+	delay := time.Duration(0)
 	for _, value := range h["Retry-After"] {
-		rest = max(rest, parseRetryAfter(strings.TrimSpace(value), now))
+		delay = max(delay, parseRetryAfter(strings.TrimSpace(value), now))
 	}
-	return min(rest, maxRetryAfter)
+	return min(delay, maxRetryAfter)
 }
 
 func parseRetryAfter(value string, now time.Time) time.Duration {
--- a/transport/retryafter_test.go
+++ b/transport/retryafter_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// For how long a target that turned a request away wants none; what is no time asks for nothing.
+// TestRetryAfter checks the forms of the Retry-After header; an invalid value counts as none.
 func TestRetryAfter(t *testing.T) {
 	now := time.Date(2026, 12, 3, 7, 0, 0, 0, time.UTC)
 	date := func(d time.Duration) string { return now.Add(d).Format(http.TimeFormat) }
--- a/transport/send.go
+++ b/transport/send.go
@@ -19,15 +19,15 @@
 type Request struct {
 	Target netip.AddrPort
 	Method string
-	// URI is the path with the query, byte for byte as it is to be sent.
+	// URI is the path with the query, which is sent byte for byte.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own reports whether an answer belongs to this request; nil takes every answer.
+	// Matches reports whether an answer belongs to this request; nil accepts every answer.
 	Matches func(http.Header) bool
-	// Fresh asks for a new connection that no other request uses. A write into a
-	// kept one that the target has just closed is not known to have failed unsent.
+	// Fresh requests a new connection that no other request uses. If the target has just
+	// closed a reused one, a failed write does not show whether any byte was sent.
 	Fresh bool
 }
 
@@ -39,31 +39,31 @@
 }
 
 // maxForeignAnswers is the number of answers to other requests that are skipped before
-// a connection is given up.
+// the connection is closed.
 const maxForeignAnswers = 3
 
 // Send sends a request once and returns the head of its answer. An error wraps
-// [ErrUnsent] if no byte of the request left; after any other the target may have
-// run it. Ending ctx ends the connection, also while the body is read.
+// [ErrUnsent] if no byte of the request was sent; after any other error the target may have
+// run it. Cancelling ctx closes the connection, also while the body is read.
 func (p *Pool) Send(ctx context.Context, req Request) (*Response, error) {
 	open := p.get
 	if req.Fresh {
 		open = p.dial
 	}
-	asked := p.now()
+	start := p.now()
 	c, err := open(ctx, req.Target)
 	if err != nil {
 		return nil, err
 	}
-	if took := p.now.Since(asked); took > p.dialTimeout {
-		// Opening ends by then, so this process stood still. What its caller checked
-		// before may hold no more, and nothing has been sent yet.
+	if elapsed := p.now.Since(start); elapsed > p.dialTimeout {
+		// Opening ends within dialTimeout, so this process was suspended meanwhile. The caller's
+		// earlier checks may no longer hold, and nothing has been sent yet.
 		c.discard()
-		return nil, ErrUnsent.Errorf("target %s: this process stood still for some %s", req.Target, took.Round(time.Millisecond))
+		return nil, ErrUnsent.Errorf("target %s: this process was suspended for about %s", req.Target, elapsed.Round(time.Millisecond))
 	}
 	x := &exchange{conn: c, ctx: ctx, fresh: req.Fresh, startedAt: p.now()}
 	x.stop = context.AfterFunc(ctx, func() {
-		// A connection whose deadline cannot be set is closed already.
+		// If the deadline cannot be set, the connection is closed already.
 		_ = c.SetDeadline(time.Unix(1, 0))
 	})
 	if err := x.write(req); err != nil {
@@ -83,18 +83,18 @@
 	conn *conn
 	ctx  context.Context
 	stop func() bool
-	// begun is when the exchange began.
+	// startedAt is when the exchange began.
 	startedAt time.Time
-	// written is 1 once the whole request was written.
+	// written is set once the whole request was written.
 	written atomic.Bool
 	wrote   chan struct{}
 	done    bool
-	// fresh says that the connection is not kept for other requests.
+	// fresh says that the connection is closed after the exchange.
 	fresh bool
 }
 
-// write sends the request. A long body is written beside the reading of the
-// answer, since a target may answer before it has read all of it.
+// write sends the request. A long body is written while the answer is read,
+// since a target may answer before it has read the whole body.
 func (x *exchange) write(req Request) error {
 	head := appendHead(make([]byte, 0, 1024), req)
 	if len(req.Body) > inlineBody {
@@ -118,8 +118,8 @@
 	return errs.Errorf("target %s: %w", req.Target, err)
 }
 
-// inlineBody is the size up to which a body is written before the answer is
-// read, in bytes; with the head it fits into any send buffer.
+// inlineBody is the maximum size in bytes of a body that is written before the
+// answer is read; together with the head it fits into any send buffer.
 const inlineBody = 2 << 10
 
 // appendHead renders the request's head.
@@ -159,19 +159,19 @@
 		case req.Matches == nil || req.Matches(resp.Header):
 			return &Response{Status: resp.StatusCode, Header: resp.Header, Body: &body{exchange: x, resp: resp}}, nil
 		case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-			return nil, errForeignAnswer.Errorf("an answer to another request ends with its connection")
+			return nil, errForeignAnswer.Errorf("answer to another request is delimited by the end of the connection")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errForeignAnswer.Errorf("more than %d answers to other requests", maxForeignAnswers)
+	return nil, errForeignAnswer.Errorf("none of %d answers matches the request", maxForeignAnswers)
 }
 
 var errForeignAnswer = errs.Tag("answers to other requests")
 
-// classifyError says what an error on the connection means. Where nothing came in time,
-// as opposed to a caller that left, the target's idle connections may be silent too.
+// classifyError converts an error on the connection. After a timeout, unlike a cancellation
+// by the caller, the target's idle connections may not respond either and are closed.
 func (x *exchange) classifyError(target netip.AddrPort, err error) error {
 	switch cause := context.Cause(x.ctx); {
 	case cause != nil:
@@ -186,7 +186,7 @@
 	return errs.Errorf("target %s: %w", target, err)
 }
 
-// abort ends the exchange and its connection.
+// abort ends the exchange and closes its connection.
 func (x *exchange) abort() {
 	if x.done {
 		return
@@ -199,8 +199,8 @@
 	}
 }
 
-// finish ends an exchange whose answer was read to its end and keeps the
-// connection where that is safe.
+// finish ends an exchange whose answer was read completely and returns the connection
+// to the pool if it can be reused safely.
 func (x *exchange) finish(resp *http.Response) {
 	if x.done {
 		return
@@ -214,7 +214,7 @@
 	x.conn.release(idleTime(resp.Header))
 }
 
-// idleTime is how long a connection may be kept by what the target says of it.
+// idleTime returns how long a connection may stay idle, according to the Keep-Alive header.
 func idleTime(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -228,7 +228,7 @@
 	return defaultIdleTime
 }
 
-// body is an answer's body; read to its end it gives the connection back.
+// body is an answer's body; reading it to its end returns the connection to the pool.
 type body struct {
 	exchange *exchange
 	resp     *http.Response
@@ -247,7 +247,7 @@
 	return n, err
 }
 
-// Close implements [io.Closer]; an answer that was not read to its end ends its connection.
+// Close implements [io.Closer]. It closes the connection if the answer was not read to its end.
 func (b *body) Close() error {
 	b.exchange.abort()
 	return nil
@@ -261,7 +261,7 @@
 		return nil, err
 	}
 	if n > limit {
-		return nil, errs.Errorf("the answer has more than %d bytes", limit)
+		return nil, errs.Errorf("answer is larger than %d bytes", limit)
 	}
 	return buf.Bytes(), nil
 }
--- a/transport/stalled_test.go
+++ b/transport/stalled_test.go
@@ -15,19 +15,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stallProxy stands before a target. Once it is muted, the connections that are
-// open stay open and pass nothing on any more, while new ones work.
+// stallProxy is a proxy for a target. A stall leaves the open connections open but forwards
+// nothing on them any more, while new connections work.
 type stallProxy struct {
 	addr   netip.AddrPort
 	opened atomic.Int64
 
 	mu      sync.Mutex
 	stalled chan struct{}
-	// passing counts the connections that may still pass something on.
+	// forwarding counts the connections that may still forward data.
 	forwarding sync.WaitGroup
 }
 
-// stall silences the connections that are open; once it returns they pass nothing on.
+// stall stalls the open connections; once it returns they forward nothing.
 func (m *stallProxy) stall() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,12 +46,12 @@
 		m.mu.Unlock()
 		m.forward(c, target, muted)
 	})
-	// It runs before the cleanup of accept, which waits for all connections.
+	// This runs before the cleanup of accept, which waits for all connections.
 	t.Cleanup(m.stall)
 	return m
 }
 
-// accept has a function serve each connection to a new address until the test ends.
+// accept listens on a new address and serves each connection with a function until the test ends.
 func accept(t *testing.T, serve func(net.Conn)) netip.AddrPort {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -72,7 +72,8 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// forward connects a connection with the target until it is muted; then it is only held open.
+// forward copies data between a connection and the target until the stall; then it only holds
+// the connection open.
 func (m *stallProxy) forward(c net.Conn, target netip.AddrPort, muted chan struct{}) {
 	defer c.Close()
 	up, err := net.Dial("tcp4", target.String())
@@ -96,7 +97,7 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// serveAll answers every connection, one request after the other.
+// serveAll answers the requests on every connection.
 func serveAll(t *testing.T) netip.AddrPort {
 	return accept(t, func(c net.Conn) {
 		defer c.Close()
@@ -107,9 +108,9 @@
 	})
 }
 
-var errNoAnswerInTime = errors.New("nothing came in time")
+var errNoAnswerInTime = errors.New("no answer in time")
 
-// sendWithin sends a request that is given up after a time without an answer.
+// sendWithin sends a request that is cancelled if it has no answer after a time.
 func sendWithin(t *testing.T, p *Pool, target netip.AddrPort, d time.Duration) error {
 	ctx, cancel := context.WithCancelCause(t.Context())
 	timer := time.AfterFunc(d, func() { cancel(errNoAnswerInTime) })
@@ -124,15 +125,15 @@
 	return err
 }
 
-// TestStalledIdleConnsClosed checks that of several kept connections that have all gone silent
-// only one costs a request: what was kept before that one was used is not used again.
+// TestStalledIdleConnsClosed checks that if several idle connections stall, only one request fails:
+// after its timeout all connections that became idle before it are closed.
 func TestStalledIdleConnsClosed(t *testing.T) {
 	proxy := startStallProxy(t, serveAll(t))
 	p := NewPool()
 	defer p.Close()
-	const kept = 4
+	const conns = 4
 	var resps []*Response
-	for range kept {
+	for range conns {
 		resp, err := p.Send(t.Context(), request(proxy.addr, "a", "body"))
 		require.NoError(t, err)
 		resps = append(resps, resp)
@@ -141,14 +142,15 @@
 		_, err := ReadAll(resp.Body, 1<<10)
 		require.NoError(t, err)
 	}
-	require.EqualValues(t, kept, proxy.opened.Load())
+	require.EqualValues(t, conns, proxy.opened.Load())
 	proxy.stall()
 	require.ErrorIs(t, sendWithin(t, p, proxy.addr, 50*time.Millisecond), errNoAnswerInTime)
 	require.NoError(t, sendWithin(t, p, proxy.addr, 10*time.Second))
-	require.EqualValues(t, kept+1, proxy.opened.Load())
+	require.EqualValues(t, conns+1, proxy.opened.Load())
 }
 
-// TestCancelKeepsIdleConns checks that a caller who leaves says nothing of the target's connections.
+// TestCancelKeepsIdleConns checks that a cancellation by the caller does not close the target's
+// idle connections.
 func TestCancelKeepsIdleConns(t *testing.T) {
 	proxy := startStallProxy(t, serveAll(t))
 	p := NewPool()
@@ -165,8 +167,8 @@
 	require.EqualValues(t, 1, proxy.opened.Load())
 }
 
-// TestCheckReachable checks that a target is found to be reached by a connection that is
-// kept for the next request.
+// TestCheckReachable checks that the connection of a successful check is kept for the next request,
+// and that a check of an address without a listener fails.
 func TestCheckReachable(t *testing.T) {
 	target := serveAll(t)
 	p := NewPool()
--- a/transport/suspended_test.go
+++ b/transport/suspended_test.go
@@ -10,37 +10,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProcessSuspendedWhileDialing checks that a process which stood still while a connection was opened
-// sends nothing on it: what the caller checked before, and the time that it worked out
-// as left, may hold no more. The next request goes out on a connection as any other.
+// TestProcessSuspendedWhileDialing checks that a process that was suspended while it opened a
+// connection sends nothing on it: the caller's earlier checks and its remaining time may
+// no longer be valid. The next request is sent as usual.
 func TestProcessSuspendedWhileDialing(t *testing.T) {
-	const longest = 100 * time.Millisecond
-	var asked atomic.Int64
+	const dialTimeout = 100 * time.Millisecond
+	var received atomic.Int64
 	target := accept(t, func(c net.Conn) {
 		defer c.Close()
 		r := bufio.NewReader(c)
 		for read(r) != "" {
-			asked.Add(1)
+			received.Add(1)
 			if _, err := c.Write([]byte(answer("a", "ok"))); err != nil {
 				return
 			}
 		}
 	})
-	var still atomic.Bool
-	still.Store(true)
-	// Opened is called once a connection is there, which is where the process stops.
-	p := NewPool(WithDialTimeout(longest), WithOpened(func() {
-		if still.Load() {
-			time.Sleep(2 * longest)
+	var suspended atomic.Bool
+	suspended.Store(true)
+	// The opened function runs once the connection is established; the suspension is simulated there.
+	p := NewPool(WithDialTimeout(dialTimeout), WithOpened(func() {
+		if suspended.Load() {
+			time.Sleep(2 * dialTimeout)
 		}
 	}))
 	defer p.Close()
 	_, err := get(t, p, request(target, "a", "body"))
 	require.ErrorIs(t, err, ErrUnsent)
-	require.NotErrorIs(t, err, ErrUnresponsive, "the target is not to blame")
-	require.Zero(t, asked.Load())
-	still.Store(false)
+	require.NotErrorIs(t, err, ErrUnresponsive, "the target was not the cause")
+	require.Zero(t, received.Load())
+	suspended.Store(false)
 	_, err = get(t, p, request(target, "a", "body"))
 	require.NoError(t, err)
-	require.EqualValues(t, 1, asked.Load())
+	require.EqualValues(t, 1, received.Load())
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serve answers each connection by a function, one after the other.
+// serve handles successive connections with one function each.
 func serve(t *testing.T, conns ...func(r *bufio.Reader, c net.Conn)) netip.AddrPort {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// read takes one request off a connection and returns its URI.
+// read reads one request from a connection and returns its URI, empty on an error.
 func read(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -131,7 +131,7 @@
 			got, err := get(t, p, request(serve(t, c.reply), "1", c.body))
 			require.Equal(t, c.fails, err != nil, "%v", err)
 			if c.fails {
-				require.False(t, errors.Is(err, ErrUnsent), "the request left")
+				require.False(t, errors.Is(err, ErrUnsent), "the request was sent")
 				return
 			}
 			require.Equal(t, c.want, got)
@@ -139,8 +139,8 @@
 	}
 }
 
-// A kept connection is used again only while nothing has come on it, and a request
-// is never sent a second time.
+// An idle connection is reused only if nothing was received on it meanwhile, and a
+// request is never sent a second time.
 func TestConnectionReuse(t *testing.T) {
 	answered, surplus := make(chan struct{}), make(chan struct{})
 	target := serve(t,
@@ -175,9 +175,9 @@
 	got, err := get(t, p, request(target, "3", "b"))
 	require.NoError(t, err)
 	require.Equal(t, "three", got)
-	require.Equal(t, 2, opened, "the connection with surplus bytes is not used")
+	require.Equal(t, 2, opened, "the connection with surplus bytes is not reused")
 	_, err = get(t, p, request(target, "4", "b"))
-	require.Error(t, err, "the target hung up after it had read the request")
+	require.Error(t, err, "the target closed the connection after it had read the request")
 	require.False(t, errors.Is(err, ErrUnsent))
 	require.Equal(t, 2, opened, "it was not sent again")
 }
@@ -193,7 +193,7 @@
 	require.True(t, errors.Is(err, ErrUnsent))
 }
 
-// The end of the caller's context ends a request that is waiting for its answer.
+// Cancelling the caller's context ends a request that is waiting for its answer.
 func TestCancelled(t *testing.T) {
 	gone := make(chan struct{})
 	target := serve(t, func(r *bufio.Reader, _ net.Conn) {
@@ -204,7 +204,7 @@
 	p := NewPool()
 	defer p.Close()
 	ctx, cancel := context.WithCancelCause(t.Context())
-	cause := errors.New("the caller left")
+	cause := errors.New("the caller cancelled")
 	time.AfterFunc(20*time.Millisecond, func() { cancel(cause) })
 	_, err := p.Send(ctx, request(target, "1", ""))
 	require.ErrorIs(t, err, cause)
