--- a/wire/answer.go
+++ b/wire/answer.go
@@ -12,14 +12,14 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// answer writes a completion's answer to its caller, as a stream or as one body.
+// answer writes the answer of a completion to its caller, as a stream or as one body.
 type answer struct {
 	w       http.ResponseWriter
 	comp    *Completion
 	request string
 	started bool
-	// attempt is the first whose chunks were passed on; later ones' chunks take
-	// its id, and a whole answer what else stands in its first chunk.
+	// attempt is the first attempt whose chunks were forwarded, and first its first chunk.
+	// Chunks of later attempts get the id of first, an answer in one body its other fields too.
 	attempt string
 	first   gjson.Result
 	text    []byte
@@ -61,7 +61,8 @@
 	return append(line, "\n\n"...)
 }
 
-// withFirstID returns a chunk's JSON, with the id of the answer's first chunks where it is resumed.
+// withFirstID returns a chunk's JSON; after a resumption it replaces the id with that of the
+// answer's first chunk.
 func (a *answer) withFirstID(c route.Chunk) ([]byte, error) {
 	a.recordFirst(c)
 	if a.attempt == c.Attempt {
@@ -75,7 +76,7 @@
 	return json.Marshal(fields)
 }
 
-// recordFirst keeps the answer's first chunk.
+// recordFirst stores the first chunk of the answer.
 func (a *answer) recordFirst(c route.Chunk) {
 	if !a.first.Exists() {
 		a.attempt = c.Attempt
@@ -99,7 +100,7 @@
 	_ = http.NewResponseController(a.w).Flush()
 }
 
-// collect keeps a chunk's text for [answer.End].
+// collect appends a chunk's text to the body that [answer.End] writes.
 func (a *answer) collect(c route.Chunk) {
 	a.recordFirst(c)
 	a.text = append(a.text, c.Text...)
@@ -108,7 +109,7 @@
 	}
 }
 
-// End implements [dispatch.Answer]: it writes the finish mark, which only a whole answer gets.
+// End implements [dispatch.Answer]. It writes the finish mark, which only a complete answer gets.
 func (a *answer) End(u *route.Usage) error {
 	if !a.comp.Stream {
 		return a.writeCollected(u)
@@ -119,7 +120,7 @@
 	return err
 }
 
-// writeCollected writes the collected answer as the API's one body.
+// writeCollected writes the collected chunks as a response of the API in one body.
 func (a *answer) writeCollected(u *route.Usage) error {
 	type message struct {
 		Role    string `json:"role"`
@@ -156,7 +157,7 @@
 	return door.WriteBody(a.w, http.StatusOK, "application/json", data)
 }
 
-var errNoJSON = errs.Tag("the answer is no JSON")
+var errNoJSON = errs.Tag("answer is not valid JSON")
 
 // Whole implements [dispatch.Answer].
 func (a *answer) Whole(body []byte) error {
@@ -178,9 +179,9 @@
 	return out
 }
 
-// Fail implements [dispatch.Answer]. Where part of a stream has left, the error is
-// its last event and the connection is cut without the finish mark, so that no
-// client takes what it has for the whole.
+// Fail implements [dispatch.Answer]. If part of a stream was sent, the error is its
+// last event, and the connection is closed without the finish mark, so that no client
+// takes the partial answer for a complete one.
 func (a *answer) Fail(f route.Refusal) {
 	if !a.started {
 		a.w.Header().Set("X-Request-Id", a.request)
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,6 +1,6 @@
-// Package wire adapts pathhead to what is outside the process: callers,
-// targets, peers, operators and the platform's services.
+// Package wire implements the protocols of callers, targets and the platform's
+// services: the OpenAI API, the engines' own interface, DynamoDB, S3 and the VM list.
 //
-// Adapters turn messages into values of the decision packages and back. They
-// check and bound everything they read and hold no policy.
+// Adapters convert messages to values of the decision packages and back. They
+// validate and limit everything that they read and make no routing decisions.
 package wire
--- a/wire/engine.go
+++ b/wire/engine.go
@@ -17,8 +17,8 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The headers between pathhead and targets. A request names what it expects of
-// incarnation and weights; an answer says what they are.
+// The headers between pathhead and targets. A request states the incarnation and
+// weights that it expects, an answer the actual ones.
 const (
 	HeaderRequest     = "X-Request-Id"
 	HeaderAttempt     = "X-Attempt-Id"
@@ -28,17 +28,17 @@
 	HeaderRan         = "X-Engine-Ran"
 )
 
-// RanNo is the value of HeaderRan on a refusal before running.
+// RanNo is the value of HeaderRan if a target refused a request without running it.
 const RanNo = "no"
 
-// Resume asks an engine to go on after what another attempt delivered.
+// Resume asks an engine to continue an answer after the part that another attempt delivered.
 type Resume struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 }
 
-// Order is a conditional instruction to an engine: it applies only while the
-// model has the weights IfWeights, where empty means that it is not loaded.
+// Order is a conditional instruction to an engine: it applies only if the model has
+// the weights IfWeights; empty means that it is not loaded.
 type Order struct {
 	Action      string            `json:"action"`
 	Model       string            `json:"model,omitempty"`
@@ -58,7 +58,7 @@
 	OrderRole   = "role"
 )
 
-// State is what a target says about itself.
+// State is a target's report of its state.
 type State struct {
 	Incarnation route.Incarnation      `json:"incarnation"`
 	Models      map[string]LoadedModel `json:"models"`
@@ -80,37 +80,39 @@
 	Adapters []string `json:"adapters"`
 }
 
-// OpStore is the value of Op in an event that a block was stored.
+// OpStore is the value of Op in the event of a stored block.
 const OpStore = "store"
 
-// CacheEvents is a run of cache events of one incarnation.
+// CacheEvents is a sequence of cache events of one incarnation.
 type CacheEvents struct {
 	Incarnation route.Incarnation `json:"incarnation"`
 	Events      []CacheEvent      `json:"events"`
 }
 
-// CacheEvent says that an engine stored or evicted a block.
+// CacheEvent records that an engine stored or evicted a block.
 type CacheEvent struct {
 	Seq   int64       `json:"seq"`
 	Op    string      `json:"op"`
 	Block route.Block `json:"block"`
 }
 
-// maxState bounds a state report or an event page in bytes.
+// maxState bounds the size of an engine's answer, such as a state report or a page of
+// events, in bytes.
 const maxState = 4 << 20
 
-// Engines calls the targets' own interface: state, cache events, orders and KV cache.
+// Engines is a client of the targets' own interface: state, cache events, orders and KV cache.
 type Engines struct {
 	client *http.Client
-	// prober has no time bound of its own: an engine that was just changed may take seconds.
+	// prober has no timeout of its own, since an engine may take seconds to answer just
+	// after a change of its models.
 	prober *http.Client
 }
 
-// engineTimeout bounds a call to a target, which answers in a few milliseconds; one
-// that takes longer counts as failed.
+// engineTimeout bounds a call to a target. Targets answer within a few milliseconds; a call
+// that takes longer than the timeout counts as failed.
 const engineTimeout = time.Second
 
-// NewEngines returns a caller without connections.
+// NewEngines returns a client without open connections.
 func NewEngines() *Engines {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
@@ -184,11 +186,11 @@
 	return out.Incarnation, changes, nil
 }
 
-// ErrRefused says that a target answered that it did not do what it was asked.
+// ErrRefused marks errors of calls that a target refused without running them.
 var ErrRefused = errs.Tag("refused by target")
 
-// Order implements controller.Engines; an error wrapping ErrRefused means that
-// the order had no effect, any other that it may have.
+// Order implements controller.Engines. After an error that wraps ErrRefused the order
+// had no effect; after any other error it may have had one.
 func (e *Engines) Order(ctx context.Context, o fleet.Order) error {
 	w := o.Change.Want
 	out := Order{
@@ -201,7 +203,7 @@
 	return e.call(ctx, http.MethodPost, o.Change.Engine, "/engine/order", out, nil)
 }
 
-// probeTokens is the length of a probe's answer: a first token and one after it.
+// probeTokens is the length of a probe's answer: the first token and one after it.
 const probeTokens = 2
 
 // Probe implements controller.Engines.
@@ -237,29 +239,30 @@
 	return nil
 }
 
-// kvBlocks names cache blocks; behind the stand-in's interface they stand for their contents.
+// kvBlocks lists cache blocks by their hashes. The stand-in's interface transfers these in
+// place of the contents of the blocks.
 type kvBlocks struct {
 	Blocks []route.Block `json:"blocks"`
 }
 
-// Export returns which of the blocks the engine holds and hands out.
+// Export returns those of the blocks that the engine holds and exports.
 func (e *Engines) Export(ctx context.Context, addr netip.AddrPort, blocks []route.Block) ([]route.Block, error) {
 	var out kvBlocks
 	err := e.call(ctx, http.MethodPost, addr, "/engine/kv/export", kvBlocks{blocks}, &out)
 	return out.Blocks, err
 }
 
-// Import fills the engine's cache with kept blocks.
+// Import loads exported blocks into the engine's cache.
 func (e *Engines) Import(ctx context.Context, addr netip.AddrPort, blocks []route.Block) error {
 	return e.call(ctx, http.MethodPost, addr, "/engine/kv/import", kvBlocks{blocks}, nil)
 }
 
-// Keep stores an export under a key in a kept KV store.
+// Keep stores exported blocks under a key in a KV store.
 func (e *Engines) Keep(ctx context.Context, addr netip.AddrPort, key string, blocks []route.Block) error {
 	return e.call(ctx, http.MethodPut, addr, "/kv/"+key, kvBlocks{blocks}, nil)
 }
 
-// Kept reads an export back; it fails where the store has none.
+// Kept reads exported blocks from a KV store; it fails if the store has none under the key.
 func (e *Engines) Kept(ctx context.Context, addr netip.AddrPort, key string) ([]route.Block, error) {
 	var out kvBlocks
 	err := e.call(ctx, http.MethodGet, addr, "/kv/"+key, nil, &out)
@@ -300,7 +303,7 @@
 	return nil
 }
 
-// maxExcerpt bounds how much of a target's error text is passed on, in bytes.
+// maxExcerpt is the maximum length of a target's error text in an error, in bytes.
 const maxExcerpt = 200
 
 func statusError(addr netip.AddrPort, resp *http.Response, data []byte) error {
--- a/wire/objects.go
+++ b/wire/objects.go
@@ -13,16 +13,16 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// maxObject bounds an object that is read whole, in bytes.
+// maxObject is the maximum size of an object that is read, in bytes.
 const maxObject = 16 << 20
 
-// S3Objects is a [fleet.Objects] behind the S3 API.
+// S3Objects implements [fleet.Objects] with a bucket of the S3 API.
 type S3Objects struct {
 	client *s3.Client
 	bucket string
 }
 
-// NewS3Objects returns the bucket at the endpoint, a base URL.
+// NewS3Objects returns a client of the bucket at the endpoint, a base URL.
 func NewS3Objects(endpoint, bucket string, cred Credentials) *S3Objects {
 	provider, region := cred.provider()
 	client := s3.New(s3.Options{
@@ -59,7 +59,7 @@
 	return data, true, nil
 }
 
-// PutIfAbsent implements [fleet.Objects] with If-None-Match.
+// PutIfAbsent implements [fleet.Objects] with the If-None-Match header.
 func (o *S3Objects) PutIfAbsent(ctx context.Context, key string, data []byte) error {
 	_, err := o.client.PutObject(ctx, &s3.PutObjectInput{
 		Bucket:      &o.bucket,
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// List implements [fleet.Objects]; it reads page after page until the end.
+// List implements [fleet.Objects]; it reads all pages.
 func (o *S3Objects) List(ctx context.Context, prefix, after string) ([]string, error) {
 	var keys []string
 	for {
--- a/wire/openai.go
+++ b/wire/openai.go
@@ -15,7 +15,7 @@
 	"github.com/pathhead/pathhead/transport"
 )
 
-// Completion is a caller's request to a model, checked as far as the router needs.
+// Completion is a caller's request to a model, validated as far as the router needs.
 // It implements [dispatch.Completion].
 type Completion struct {
 	dispatch.CompletionParams
@@ -29,27 +29,27 @@
 // Ask implements [dispatch.Completion].
 func (c *Completion) Ask() dispatch.CompletionParams { return c.CompletionParams }
 
-// field is one member of the caller's object, as it came.
+// field is one member of the caller's JSON object, with its value unchanged.
 type field struct {
 	name  string
 	value gjson.Result
 }
 
-// defaultMaxTokens is charged for a request that names no bound on its answer.
+// defaultMaxTokens is the length of the answer that is charged for a request without a limit of its own.
 const defaultMaxTokens = 256
 
-// structured lists the fields that make an answer more than one text.
+// structured lists the fields whose answers have more than one plain text.
 var structured = []string{"tools", "functions", "logprobs", "top_logprobs", "echo", "audio", "modalities", "response_format"}
 
-// reserved lists the fields that callers may not set, since the router does.
+// reserved lists the fields that callers may not set, since the router sets them.
 var reserved = []string{"cache_salt", "resume"}
 
-// ParseCompletion reads a request body of the OpenAI API. A name that stands
-// twice is refused, also in other case, since readers differ in which counts.
+// ParseCompletion parses a request body of the OpenAI API. It rejects duplicate field names,
+// also if they differ only in case, since JSON parsers differ in which of them they use.
 func ParseCompletion(data []byte, chat bool) (*Completion, error) {
 	body := gjson.ParseBytes(data)
 	if !gjson.ValidBytes(data) || !body.IsObject() {
-		return nil, errs.Errorf("the body is not a JSON object")
+		return nil, errs.Errorf("body is not a JSON object")
 	}
 	c := &Completion{Chat: chat, CompletionParams: dispatch.CompletionParams{SingleText: true}}
 	var err error
@@ -74,14 +74,14 @@
 	}
 	for _, f := range c.fields {
 		if strings.EqualFold(f.name, name) {
-			return errs.Errorf("%q stands twice", name)
+			return errs.Errorf("duplicate field %q", name)
 		}
 	}
 	c.fields = append(c.fields, field{name, value})
 	return nil
 }
 
-// get returns a field; one that is absent or null does not exist.
+// get returns a field's value; an absent or null field does not exist.
 func (c *Completion) get(name string) gjson.Result {
 	for _, f := range c.fields {
 		if f.name == name && f.value.Type != gjson.Null {
@@ -92,7 +92,7 @@
 }
 
 func (c *Completion) readOptions() error {
-	for name, isRight := range map[string]func(gjson.Result) bool{
+	for name, valid := range map[string]func(gjson.Result) bool{
 		"model":                 func(r gjson.Result) bool { return r.Type == gjson.String },
 		"stream":                gjson.Result.IsBool,
 		"stream_options":        gjson.Result.IsObject,
@@ -100,8 +100,8 @@
 		"max_completion_tokens": isInteger,
 		"n":                     isInteger,
 	} {
-		if v := c.get(name); v.Exists() && !isRight(v) {
-			return errs.Errorf("%s is of a wrong type", name)
+		if v := c.get(name); v.Exists() && !valid(v) {
+			return errs.Errorf("%s has the wrong type", name)
 		}
 	}
 	c.Model = c.get("model").Str
@@ -116,13 +116,13 @@
 	}
 	c.MaxTokens = int(cmp.Or(c.get("max_completion_tokens").Int(), c.get("max_tokens").Int(), defaultMaxTokens))
 	if c.MaxTokens < 0 || n < 1 {
-		return errs.Errorf("max_tokens and n must not be negative")
+		return errs.Errorf("max_tokens must not be negative and n must be positive")
 	}
 	c.SingleText = n == 1 && !c.hasAny(structured)
 	return nil
 }
 
-// maxInteger bounds the numbers of tokens and choices that are read.
+// maxInteger bounds the numbers of tokens and choices that are accepted.
 const maxInteger = 1 << 30
 
 func isInteger(r gjson.Result) bool {
@@ -158,14 +158,14 @@
 	return nil
 }
 
-// DecodeMessages reads the messages of a chat. Content that is no string, such
-// as a list of parts, stands as its JSON.
+// DecodeMessages decodes the messages of a chat. Content that is not a string, such as a
+// list of parts, is represented by its JSON.
 func DecodeMessages(list gjson.Result) ([]route.Message, error) {
 	if !list.Exists() || list.IsArray() && list.Raw == "[]" {
 		return nil, errs.Errorf("messages is missing or empty")
 	}
 	if !list.IsArray() {
-		return nil, errs.Errorf("messages is of a wrong type")
+		return nil, errs.Errorf("messages is not an array")
 	}
 	var (
 		out []route.Message
@@ -190,7 +190,8 @@
 	return out, err
 }
 
-// Body writes the request for an engine: the caller's fields as they came, and the router's.
+// Body returns the request body for an engine: the caller's fields unchanged, and those that
+// the router sets.
 func (c *Completion) Body(salt string, s dispatch.SendOptions) ([]byte, error) {
 	extra := struct {
 		CacheSalt     string          `json:"cache_salt"`
@@ -229,10 +230,10 @@
 	return b.Bytes(), nil
 }
 
-// bodyOverhead is the room for fields and escapes besides the prompt, in bytes.
+// bodyOverhead is the buffer capacity for fields and escapes besides the prompt, in bytes.
 const bodyOverhead = 2048
 
-// routerFields names the fields that Body replaces.
+// routerFields lists the fields that Body replaces.
 var routerFields = map[string]bool{
 	"cache_salt": true, "priority": true, "stream": true, "stream_options": true, "resume": true,
 }
--- a/wire/platform_test.go
+++ b/wire/platform_test.go
@@ -13,7 +13,7 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// TestDynamoTable drives the real driver against the stand-in over HTTP.
+// TestDynamoTable tests the DynamoDB client over HTTP against the stand-in.
 func TestDynamoTable(t *testing.T) {
 	server := httptest.NewServer(standin.NewTable(1).Handler())
 	defer server.Close()
@@ -28,10 +28,10 @@
 		return err
 	}
 	require.NoError(t, put("t1", "a", "one", 0))
-	require.True(t, errors.Is(put("t2", "a", "two", 0), fleet.ErrConflict), "absent no more")
-	require.NoError(t, put("t1", "a", "one", 0), "the same token answers as before")
+	require.True(t, errors.Is(put("t2", "a", "two", 0), fleet.ErrConflict), "the row exists")
+	require.NoError(t, put("t1", "a", "one", 0), "a repeated token has the same result")
 	require.NoError(t, put("t3", "a", "two", 1))
-	require.True(t, errors.Is(put("t4", "a", "three", 1), fleet.ErrConflict), "changed since")
+	require.True(t, errors.Is(put("t4", "a", "three", 1), fleet.ErrConflict), "the row has changed")
 
 	_, err = table.Commit(ctx, "t5",
 		fleet.Write{Part: "p", Sort: "b", Data: []byte("x")},
@@ -39,7 +39,7 @@
 	require.True(t, errors.Is(err, fleet.ErrConflict))
 	_, ok, err = table.Get(ctx, "p", "b")
 	require.NoError(t, err)
-	require.False(t, ok, "all or none")
+	require.False(t, ok, "a failed commit writes nothing")
 
 	require.NoError(t, put("t6", "c", "", 0))
 	rows, err := table.Range(ctx, "p", "", 10)
@@ -52,7 +52,7 @@
 	server.Close()
 	err = put("t7", "d", "x", 0)
 	require.Error(t, err)
-	require.False(t, errors.Is(err, fleet.ErrConflict), "an outage is no conflict")
+	require.False(t, errors.Is(err, fleet.ErrConflict), "an outage is not a conflict")
 }
 
 func TestS3Objects(t *testing.T) {
@@ -69,7 +69,7 @@
 	data, ok, err := objects.Get(ctx, "k/1")
 	require.NoError(t, err)
 	require.True(t, ok)
-	require.Equal(t, "one", string(data), "the first stays")
+	require.Equal(t, "one", string(data), "the first object is kept")
 	require.NoError(t, objects.PutIfAbsent(ctx, "k/2", nil))
 	require.NoError(t, objects.PutIfAbsent(ctx, "l/1", nil))
 	keys, err := objects.List(ctx, "k/", "")
--- a/wire/protocol.go
+++ b/wire/protocol.go
@@ -14,19 +14,19 @@
 	"github.com/pathhead/pathhead/transport"
 )
 
-// OpenAI is the product's own protocol: the OpenAI API for callers and engines,
-// plain HTTP for services. It implements [dispatch.Protocol].
+// OpenAI implements [dispatch.Protocol] with the OpenAI API for callers and engines,
+// and plain HTTP for services.
 type OpenAI struct {
 	targets *transport.Pool
 }
 
 var _ dispatch.Protocol = (*OpenAI)(nil)
 
-// dialTimeout bounds the opening of a connection to a target; they are a
-// millisecond away, so a second covers a lost packet and its repeat.
+// dialTimeout bounds the opening of a connection to a target. Targets are a millisecond
+// away, so a second covers a lost packet and its retransmission.
 const dialTimeout = time.Second
 
-// NewOpenAI returns the protocol without any connections to targets.
+// NewOpenAI returns the protocol without open connections to targets.
 func NewOpenAI() *OpenAI {
 	return &OpenAI{targets: transport.NewPool(transport.WithDialTimeout(dialTimeout))}
 }
@@ -37,7 +37,7 @@
 // Sweep implements [dispatch.Protocol].
 func (o *OpenAI) Sweep() { o.targets.Sweep(func(netip.AddrPort) bool { return true }) }
 
-// headerLabels is the header with a request's labels.
+// headerLabels is the header for the labels of a request.
 const headerLabels = "X-Pathhead-Labels"
 
 // Caller implements [dispatch.Protocol].
@@ -59,7 +59,7 @@
 	return c, nil
 }
 
-// attemptHeader names an attempt to its target.
+// attemptHeader returns the headers that identify an attempt to its target.
 func attemptHeader(a route.Attempt) http.Header {
 	h := make(http.Header)
 	h.Set(HeaderRequest, a.Request)
@@ -86,7 +86,7 @@
 	})
 }
 
-// forwarded lists the headers of a caller that a service gets.
+// forwarded lists the headers of a caller that are forwarded to a service.
 var forwarded = []string{"Content-Type", "Accept", "Accept-Language", HeaderKey}
 
 // Call implements [dispatch.Protocol].
@@ -102,7 +102,7 @@
 	})
 }
 
-// send sends a request and reads what the head of its answer says.
+// send sends a request and parses the headers of its answer.
 func send(ctx context.Context, targets *transport.Pool, req transport.Request) (*dispatch.Reply, error) {
 	resp, err := targets.Send(ctx, req)
 	if err != nil {
@@ -121,7 +121,8 @@
 	}, nil
 }
 
-// refusalHints reads what an answer says of its target: engines and gateways that are full name the time to come back.
+// refusalHints returns the target hints in an answer: overloaded engines and gateways state in
+// Retry-After how long to back off.
 func refusalHints(status int, h http.Header) (s route.TargetHints) {
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		s.Backoff = transport.RetryAfter(h, time.Now())
--- a/wire/refusal.go
+++ b/wire/refusal.go
@@ -9,14 +9,14 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The headers of answers to callers.
+// Headers of answers to callers.
 const (
 	headerVerdict      = "X-Pathhead-Verdict"
 	headerRetryAfterMS = "Retry-After-Ms"
 	headerShouldRetry  = "X-Should-Retry"
 )
 
-// errorBody is the JSON of every error, in the form that OpenAI clients read.
+// errorBody is the JSON body of every error, in the format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -39,7 +39,7 @@
 	}}
 }
 
-// statusOf is the status of a refusal.
+// statusOf returns the HTTP status of a refusal.
 func statusOf(c route.Cause) int {
 	switch c {
 	case route.CauseLimit:
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -12,13 +12,13 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// maxLine bounds one line of an event stream in bytes.
+// maxLine is the maximum length of a line of an event stream, in bytes.
 const maxLine = 1 << 20
 
 // doneMark is the data of the last event of an OpenAI stream.
 var doneMark = []byte("[DONE]")
 
-// EventReader reads the server-sent events of one engine's answer.
+// EventReader parses the server-sent events of an engine's answer.
 type EventReader struct {
 	lines *bufio.Scanner
 }
@@ -30,7 +30,7 @@
 	return &EventReader{lines: s}
 }
 
-// Next returns the next chunk; at the end of the body without a finish mark it returns io.ErrUnexpectedEOF.
+// Next returns the next chunk. If the body ends without a finish mark, it returns io.ErrUnexpectedEOF.
 func (e *EventReader) Next() (route.Chunk, error) {
 	var c route.Chunk
 	for e.lines.Scan() {
@@ -56,7 +56,7 @@
 	return c, io.ErrUnexpectedEOF
 }
 
-// parseID splits "attempt/sequence"; an id of another form leaves the chunk unnumbered.
+// parseID splits an id of the form "attempt/sequence"; any other id yields no sequence number.
 func parseID(id []byte) (attempt string, seq int) {
 	cut := bytes.LastIndexByte(id, '/')
 	if cut < 0 {
@@ -69,14 +69,14 @@
 	return string(id[:cut]), n
 }
 
-// decodeChunk reads what the router needs of a chunk and keeps the whole of it.
+// decodeChunk decodes the fields of a chunk that the router needs and keeps its whole data.
 func decodeChunk(data []byte, c *route.Chunk) error {
 	body := gjson.ParseBytes(data)
 	if !gjson.ValidBytes(data) || !body.IsObject() {
-		return errs.Errorf("a chunk is not a JSON object")
+		return errs.Errorf("chunk is not a JSON object")
 	}
 	if e := body.Get("error"); e.Exists() && e.Type != gjson.Null {
-		return errs.Errorf("the engine reported an error in its stream")
+		return errs.Errorf("engine reported an error in its stream")
 	}
 	c.Data = bytes.Clone(data)
 	body.Get("choices").ForEach(func(_, choice gjson.Result) bool {
--- a/wire/table.go
+++ b/wire/table.go
@@ -16,7 +16,7 @@
 	"github.com/pathhead/pathhead/fleet"
 )
 
-// The attribute names of the table's items.
+// Attribute names of the table's items.
 const (
 	attrPart = "p"
 	attrSort = "s"
@@ -24,14 +24,14 @@
 	attrRev  = "v"
 )
 
-// Credentials are the platform's access key; an empty one stands for the stand-ins.
+// Credentials are an access key of the platform; without one the fixed key for the stand-ins is used.
 type Credentials struct {
 	AccessKey string
 	SecretKey string
 	Region    string
 }
 
-// standinCredentials is what the stand-ins are called with; they check none.
+// standinCredentials are used for the stand-ins, which check no credentials.
 var standinCredentials = Credentials{AccessKey: "standin", SecretKey: "standin", Region: "local"}
 
 func (c Credentials) provider() (aws.CredentialsProvider, string) {
@@ -41,23 +41,24 @@
 	return credentials.NewStaticCredentialsProvider(c.AccessKey, c.SecretKey, ""), c.Region
 }
 
-// callTimeout bounds one call to the platform; callers pass shorter deadlines where they need them.
+// callTimeout bounds a call to the platform; callers may pass shorter deadlines.
 const callTimeout = 2 * time.Second
 
-// platformClient has a transport of its own, so that a slow platform cannot hold the targets' connections.
+// platformClient returns a client with its own transport, so that a slow platform cannot
+// occupy connections to targets.
 func platformClient() *http.Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConnsPerHost = 16
 	return &http.Client{Transport: t, Timeout: callTimeout}
 }
 
-// DynamoTable is a [fleet.Table] behind the DynamoDB API.
+// DynamoTable implements [fleet.Table] with a table of the DynamoDB API.
 type DynamoTable struct {
 	client *dynamodb.Client
 	name   string
 }
 
-// NewDynamoTable returns the named table at the endpoint, a base URL.
+// NewDynamoTable returns a client of the named table at the endpoint, a base URL.
 func NewDynamoTable(endpoint, name string, cred Credentials) *DynamoTable {
 	provider, region := cred.provider()
 	client := dynamodb.New(dynamodb.Options{
@@ -87,7 +88,7 @@
 	return row, err == nil, err
 }
 
-// Range implements [fleet.Table] with one consistent query.
+// Range implements [fleet.Table] with one strongly consistent query.
 func (t *DynamoTable) Range(ctx context.Context, part, after string, limit int) ([]fleet.Row, error) {
 	in := &dynamodb.QueryInput{
 		TableName:              aws.String(t.name),
@@ -117,7 +118,7 @@
 	return rows, nil
 }
 
-// Commit implements [fleet.Table] with one transaction under a client request token.
+// Commit implements [fleet.Table] with one transaction, which the client request token makes idempotent.
 func (t *DynamoTable) Commit(ctx context.Context, token string, writes ...fleet.Write) (int64, error) {
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	for _, w := range writes {
@@ -137,7 +138,8 @@
 	return 0, errs.Errorf("table commit: %w", err)
 }
 
-// put writes the condition of a write in the two forms that the table is asked for.
+// put returns the put item of a write. Its condition is that the item does not exist if If is
+// zero, and that it has revision If otherwise.
 func (t *DynamoTable) put(w fleet.Write) *types.Put {
 	item := itemKey(w.Part, w.Sort)
 	item[attrData] = &types.AttributeValueMemberB{Value: w.Data}
@@ -178,7 +180,7 @@
 	data, ok3 := item[attrData].(*types.AttributeValueMemberB)
 	rev, ok4 := item[attrRev].(*types.AttributeValueMemberN)
 	if !ok1 || !ok2 || !ok3 || !ok4 {
-		return fleet.Row{}, errs.Errorf("table item lacks an attribute or has one of a wrong type")
+		return fleet.Row{}, errs.Errorf("table item has a missing or mistyped attribute")
 	}
 	n, err := strconv.ParseInt(rev.Value, 10, 64)
 	if err != nil {
--- a/wire/vmlist.go
+++ b/wire/vmlist.go
@@ -12,13 +12,13 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// StateLeaving is the value of the "state" label of a VM that is going away.
+// StateLeaving is the value of the "state" label of a VM that is about to be removed.
 const StateLeaving = "leaving"
 
-// maxList bounds the VM list in bytes: 750 replicas and 390 nodes take under 1 MiB.
+// maxList is the maximum size of the VM list in bytes; 750 replicas and 390 nodes take less than 1 MiB.
 const maxList = 8 << 20
 
-// VMList reads the platform's list of VMs in Prometheus HTTP service-discovery JSON.
+// VMList reads the platform's list of VMs in the JSON format of Prometheus HTTP service discovery.
 type VMList struct {
 	url    string
 	client *http.Client
@@ -50,7 +50,7 @@
 	return DecodeVMs(data)
 }
 
-// DecodeVMs reads a list and fails on an address that is not an IP number and port.
+// DecodeVMs decodes a list of VMs; an address that is not an IP address and port is an error.
 func DecodeVMs(data []byte) ([]route.ListedTarget, error) {
 	var groups []struct {
 		Targets []string          `json:"targets"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -53,19 +53,19 @@
 			chat: true, body: `{"model":"m","max_completion_tokens":9,"messages":[{"role":"user","content":"x"}]}`,
 			check: func(t *testing.T, c *Completion) { require.Equal(t, 9, c.MaxTokens) },
 		},
-		"prompt of tokens":  {body: `{"model":"m","prompt":[1,2]}`, err: "one string"},
-		"no prompt":         {body: `{"model":"m"}`, err: "prompt is missing"},
-		"no model":          {body: `{"prompt":"x"}`, err: "model is missing"},
-		"reserved field":    {body: `{"model":"m","prompt":"x","resume":{}}`, err: "not a field that callers set"},
-		"negative bound":    {body: `{"model":"m","prompt":"x","max_tokens":-1}`, err: "negative"},
-		"wrong type of n":   {body: `{"model":"m","prompt":"x","n":"2"}`, err: "n is of a wrong type"},
-		"a field twice":     {body: `{"model":"m","prompt":"x","model":"y"}`, err: "stands twice"},
-		"twice in any case": {body: `{"model":"m","prompt":"x","Prompt":"y"}`, err: "stands twice"},
-		"reserved, shouted": {body: `{"model":"m","prompt":"x","CACHE_SALT":"y"}`, err: "not a field that callers set"},
-		"half a token":      {body: `{"model":"m","prompt":"x","max_tokens":1.5}`, err: "max_tokens is of a wrong type"},
-		"an array":          {body: `[]`, err: "not a JSON object"},
-		"data after it":     {body: `{"model":"m","prompt":"x"} {}`, err: "not a JSON object"},
-		"nothing but space": {body: ` `, err: "not a JSON object"},
+		"prompt of tokens":      {body: `{"model":"m","prompt":[1,2]}`, err: "one string"},
+		"no prompt":             {body: `{"model":"m"}`, err: "prompt is missing"},
+		"no model":              {body: `{"prompt":"x"}`, err: "model is missing"},
+		"reserved field":        {body: `{"model":"m","prompt":"x","resume":{}}`, err: "not a field that callers set"},
+		"negative bound":        {body: `{"model":"m","prompt":"x","max_tokens":-1}`, err: "negative"},
+		"wrong type of n":       {body: `{"model":"m","prompt":"x","n":"2"}`, err: "n has the wrong type"},
+		"a field twice":         {body: `{"model":"m","prompt":"x","model":"y"}`, err: "duplicate field"},
+		"twice in any case":     {body: `{"model":"m","prompt":"x","Prompt":"y"}`, err: "duplicate field"},
+		"reserved, in capitals": {body: `{"model":"m","prompt":"x","CACHE_SALT":"y"}`, err: "not a field that callers set"},
+		"half a token":          {body: `{"model":"m","prompt":"x","max_tokens":1.5}`, err: "max_tokens has the wrong type"},
+		"an array":              {body: `[]`, err: "not a JSON object"},
+		"data after it":         {body: `{"model":"m","prompt":"x"} {}`, err: "not a JSON object"},
+		"nothing but space":     {body: ` `, err: "not a JSON object"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 		"stream": true, "stream_options": map[string]any{"include_usage": true},
 		"resume": map[string]any{"text": "t", "tokens": 2.0},
 	}, got)
-	require.Equal(t, 1, strings.Count(string(body), `"stream":`), "a field stands once, so that no two readers differ")
+	require.Equal(t, 1, strings.Count(string(body), `"stream":`), "each field occurs once, so that all parsers agree")
 }
 
 func FuzzParseCompletion(f *testing.F) {
@@ -167,13 +167,13 @@
 	})
 }
 
-// TestCallUnsent checks when a failed send is known to have left nothing.
+// TestCallUnsent checks which failed calls are known to have sent no byte.
 func TestCallUnsent(t *testing.T) {
 	closing := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer closing.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	nobody := l.Addr().(*net.TCPAddr).AddrPort()
+	closed := l.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(t, l.Close())
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -182,7 +182,7 @@
 		target netip.AddrPort
 		unsent bool
 	}{
-		"nobody listens":        {ctx: t.Context(), target: nobody, unsent: true},
+		"nobody listens":        {ctx: t.Context(), target: closed, unsent: true},
 		"cancelled before dial": {ctx: cancelled, target: addrOf(closing), unsent: true},
 		"closed after it read":  {ctx: t.Context(), target: addrOf(closing)},
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestCallOnce checks that the transport repeats no call that may run
-// once, also one with a key and an empty body, which it takes for repeatable.
+// TestCallOnce checks that the transport does not retry a call that may run only once, even
+// if it has an idempotency key and an empty body, which net/http's client would retry.
 func TestCallOnce(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -225,7 +225,7 @@
 	return s.Listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// A target that turned a request away with 429 or 503 may ask for rest; no other answer does.
+// Retry-After counts only in answers with status 429 or 503.
 func TestRefusalHints(t *testing.T) {
 	for status, want := range map[int]time.Duration{503: 3 * time.Second, 429: 3 * time.Second, 200: 0, 500: 0} {
 		require.Equal(t, want, refusalHints(status, http.Header{"Retry-After": {"3"}}).Backoff, "status %d", status)
