--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -2,10 +2,10 @@
 
 import "log/slog"
 
-// Code is an event's number in the catalogue, which docs/EVENTS.md prints.
+// Code is the number of an event in the catalogue, which docs/EVENTS.md lists.
 type Code int
 
-// The numbers are grouped by hundreds: processes, requests, targets,
+// The event codes, grouped by hundreds: processes, requests, targets,
 // configuration, peers, control of the fleet.
 const (
 	ProcessStarted   Code = 101
@@ -60,13 +60,13 @@
 	ConfigRejected  Code = 403
 	StoreDown       Code = 404
 	StoreBack       Code = 405
-	// StoreHistoryGone and WeightsNamed are of nodes on an installation's store.
+	// StoreHistoryGone and WeightsNamed are recorded by nodes that read an installation's store.
 	StoreHistoryGone Code = 406
 	WeightsNamed     Code = 407
-	// ConfigBehind and ConfigUnfetched are of nodes that take a revision from each other.
+	// ConfigBehind and ConfigUnfetched are recorded by nodes that fetch revisions from each other.
 	ConfigBehind    Code = 408
 	ConfigUnfetched Code = 409
-	// StoreReturned is of nodes on an installation's store.
+	// StoreReturned is recorded by nodes that read an installation's store.
 	StoreReturned Code = 410
 
 	PeerSeen Code = 501
@@ -90,7 +90,7 @@
 	RolloutUnsaved Code = 611
 )
 
-// Entry is one line of the catalogue.
+// Entry is the description of one event in the catalogue.
 type Entry struct {
 	Code    Code
 	Name    string
@@ -98,92 +98,92 @@
 	Meaning string
 }
 
-// Catalogue returns every event pathhead records, in the order of their numbers.
+// Catalogue returns the descriptions of all events, ordered by number.
 func Catalogue() []Entry {
 	return catalogue[:]
 }
 
 var catalogue = [...]Entry{
-	{ProcessStarted, "process-started", slog.LevelInfo, "A process began; its settings were valid."},
-	{ProcessReady, "process-ready", slog.LevelInfo, "The process serves: it holds a confirmed configuration."},
-	{ProcessDraining, "process-draining", slog.LevelInfo, "A planned stop began; readiness is off and answers in flight go on."},
-	{ProcessStopped, "process-stopped", slog.LevelInfo, "The process ended after its last answer."},
-	{ProcessFenced, "process-fenced", slog.LevelWarn, "The router could confirm its configuration with neither the stores nor a peer and refuses requests as not run."},
-	{SettingsReloaded, "settings-reloaded", slog.LevelInfo, "Changed settings are in effect; addresses stay as they were at the start."},
-	{SettingsRejected, "settings-rejected", slog.LevelWarn, "Changed settings have faults; the old ones stay in effect."},
-	{ProcessSuspended, "process-suspended", slog.LevelWarn, "The VM was suspended; the detail says for how long. What was believed for a time counts as that much older."},
-
-	{RequestArrived, "request-arrived", slog.LevelDebug, "A request passed the checks of the caller's door."},
-	{RequestQueued, "request-queued", slog.LevelDebug, "No target had room; the request waits in its organisation's queue."},
-	{RequestPlaced, "request-placed", slog.LevelDebug, "An attempt was sent to a target; the detail gives the reason."},
-	{RequestAnswered, "request-answered", slog.LevelDebug, "The caller got a whole answer."},
-	{RequestRefused, "request-refused", slog.LevelInfo, "The caller got an error; the detail gives the verdict and cause."},
+	{ProcessStarted, "process-started", slog.LevelInfo, "The process started with valid settings."},
+	{ProcessReady, "process-ready", slog.LevelInfo, "The process serves requests: it has a confirmed configuration."},
+	{ProcessDraining, "process-draining", slog.LevelInfo, "A planned stop has begun: the process reports not ready and completes the answers in flight."},
+	{ProcessStopped, "process-stopped", slog.LevelInfo, "The process has completed its last answer and ends."},
+	{ProcessFenced, "process-fenced", slog.LevelWarn, "The router could not confirm its configuration with the stores or a peer; it refuses requests as not run."},
+	{SettingsReloaded, "settings-reloaded", slog.LevelInfo, "Changed settings are in effect, except addresses, which change only at a restart."},
+	{SettingsRejected, "settings-rejected", slog.LevelWarn, "Changed settings are invalid; the previous ones stay in effect."},
+	{ProcessSuspended, "process-suspended", slog.LevelWarn, "The VM was suspended; the detail has the duration. All cached state counts as older by that duration."},
+
+	{RequestArrived, "request-arrived", slog.LevelDebug, "A request passed the checks of the callers' listener."},
+	{RequestQueued, "request-queued", slog.LevelDebug, "No target had free capacity; the request waits in its organisation's queue."},
+	{RequestPlaced, "request-placed", slog.LevelDebug, "An attempt was sent to a target; the detail has the reason for the choice."},
+	{RequestAnswered, "request-answered", slog.LevelDebug, "The caller received a complete answer."},
+	{RequestRefused, "request-refused", slog.LevelInfo, "The caller received an error; the detail has the verdict and cause."},
 	{AttemptRefused, "attempt-refused", slog.LevelInfo, "A target refused an attempt before running it."},
-	{AttemptBroken, "attempt-broken", slog.LevelWarn, "An attempt ended without its finish mark; the detail names the incarnation it was sent to and the request's fingerprint, which all copies of the request share."},
-	{RequestResumed, "request-resumed", slog.LevelInfo, "A broken answer goes on at another target after what was delivered."},
-	{RequestRetried, "request-retried", slog.LevelInfo, "A request was placed anew from its start."},
-	{CallerGone, "caller-gone", slog.LevelInfo, "The caller left; the attempt was cancelled."},
+	{AttemptBroken, "attempt-broken", slog.LevelWarn, "An attempt ended without its finish mark; the detail has the incarnation to which it was sent and the request's fingerprint, which all copies of the request share."},
+	{RequestResumed, "request-resumed", slog.LevelInfo, "A broken answer is continued at another target after the part already delivered."},
+	{RequestRetried, "request-retried", slog.LevelInfo, "A request was placed again and runs from its beginning."},
+	{CallerGone, "caller-gone", slog.LevelInfo, "The caller closed the connection; the attempt was cancelled."},
 	{ReplyDropped, "reply-dropped", slog.LevelWarn, "A reply that belongs to another attempt was dropped."},
-	{ClaimTaken, "claim-taken", slog.LevelDebug, "The claim of a call that may not be repeated was inserted in the table."},
-	{ClaimReplayed, "claim-replayed", slog.LevelInfo, "A repeated call got the outcome recorded for its key."},
-	{ClaimUnsettled, "claim-unsettled", slog.LevelWarn, "A claim has no outcome; the answer is that the call may have run."},
-	{OutcomeRecorded, "outcome-recorded", slog.LevelDebug, "The outcome of a call that may not be repeated is in the table."},
-	{OutcomeUnsaved, "outcome-unsaved", slog.LevelError, "The outcome could not be recorded; repeats will be told that the call may have run."},
-	{AnswerUnfinished, "answer-unfinished", slog.LevelWarn, "An answer was cut after its first part; the caller got an explicit error."},
-	{RequestFaulty, "request-faulty", slog.LevelInfo, "A request was wrong in itself: no such route or key, or not well formed; it did not run."},
-	{RequestLate, "request-late", slog.LevelInfo, "The first part of an answer came after the route's aim; the detail has the times."},
-	{AttemptWithdrawn, "attempt-withdrawn", slog.LevelInfo, "A request that waited at a target was taken back before it began; the detail says why."},
-	{RequestHeld, "request-held", slog.LevelWarn, "A request is held back: targets ended under its copies, which the detail names, with the request's fingerprint. Logged once by each process for each time that it is held."},
-	{RequestReleased, "request-released", slog.LevelInfo, "A request that was held back is held no more: it was answered, its time is over, or an operator said so."},
-
-	{TargetSeen, "target-seen", slog.LevelInfo, "A target was seen for the first time."},
-	{TargetRestarted, "target-restarted", slog.LevelWarn, "A target runs under a new incarnation; beliefs about the old one are gone."},
-	{TargetLeaving, "target-leaving", slog.LevelInfo, "A target is leaving; it gets no new work in this incarnation."},
-	{TargetGone, "target-gone", slog.LevelInfo, "A target left the list and is not reachable."},
-	{TargetFailing, "target-failing", slog.LevelWarn, "A target failed several times in a row and gets probes only."},
-	{TargetHealthy, "target-healthy", slog.LevelInfo, "A failing target answered again."},
-	{EngineRan, "engine-ran", slog.LevelInfo, "A stand-in engine ran a request to its end."},
-	{EngineCancelled, "engine-cancelled", slog.LevelInfo, "A stand-in engine stopped a request whose caller left."},
-	{TargetWeights, "target-weights", slog.LevelInfo, "A target was seen with other weights than before; the detail says by whom it was told."},
-	{TargetOutdated, "target-outdated", slog.LevelInfo, "A target's weights were replaced so long ago that nothing is sent to it on them; the detail says how long ago as far as this process knows. Logged once for each target and weights."},
-	{TargetUnnamed, "target-unnamed", slog.LevelWarn, "An entry of the list of targets names none: it does not decode, lacks a field, or has a state or value without a meaning. It is passed over; the detail has its id and the fault. Logged once for as long as the fault lasts."},
-	{TargetEnded, "target-ended", slog.LevelWarn, "A target ended while it ran requests of this process: nothing listens at its address, or a new start was seen there. The detail has the incarnation that ended and how many requests fell with it."},
-	{TargetLimit, "target-limit", slog.LevelInfo, "A target's answers name a limit on the requests a second that it takes from all routers together, name another one, or none any more; the detail has it and who said so."},
-	{TargetRests, "target-rests", slog.LevelInfo, "A target turned a request away and asked for rest: this process sends it nothing until that is over. The detail has for how long."},
-
-	{ConfigAdopted, "config-adopted", slog.LevelInfo, "The process serves under a new revision."},
-	{ConfigConfirmed, "config-confirmed", slog.LevelInfo, "A revision was copied to the object store, which confirms it."},
-	{ConfigRejected, "config-rejected", slog.LevelError, "A stored revision does not decode or would go backwards; the old one stays."},
-	{StoreDown, "store-down", slog.LevelWarn, "The table or object store does not answer."},
-	{StoreBack, "store-back", slog.LevelInfo, "The store answers again."},
-
-	{StoreHistoryGone, "store-history-gone", slog.LevelInfo, "The store's history does not reach back to the last change seen; the declaration is read whole."},
-	{WeightsNamed, "weights-named", slog.LevelInfo, "Newer weights of a model were named; the detail says who told, and how long ago they were named as far as this process knows."},
-	{ConfigBehind, "config-behind", slog.LevelInfo, "A newer revision is known than the one served under; the detail says who told of it. Logged once for each revision; config-adopted follows within a second."},
-	{ConfigUnfetched, "config-unfetched", slog.LevelWarn, "A newer revision could not be taken from another node; the detail says from whom, what came of it and why it ended."},
-	{StoreReturned, "store-returned", slog.LevelWarn, "The store came back from an older copy: what was written there since is gone, and its versions are given out again. The detail has its new era and the one before. What this process recorded is written again."},
-
-	{PeerSeen, "peer-seen", slog.LevelInfo, "A peer was heard for the first time or again."},
-	{PeerLost, "peer-lost", slog.LevelWarn, "A peer has not been heard for the peer timeout."},
-	{RelayBegun, "relay-begun", slog.LevelInfo, "This process relays for others of a large fleet now: it reads the store and the engines' events for them; the detail has the fleet's size."},
-	{RelayEnded, "relay-ended", slog.LevelInfo, "This process relays for others no more."},
-	{RelayTaken, "relay-taken", slog.LevelInfo, "What the store and the engines say is taken from a relay, which the detail names."},
-	{RelayLost, "relay-lost", slog.LevelWarn, "No relay tells what the store says, or only of old; this process reads the store itself until one does."},
-
-	{LeaseTaken, "lease-taken", slog.LevelInfo, "This process holds a lease; the detail has its fencing number."},
+	{ClaimTaken, "claim-taken", slog.LevelDebug, "The claim of a call that must not be repeated was inserted into the table."},
+	{ClaimReplayed, "claim-replayed", slog.LevelInfo, "A repeated call was answered with the outcome recorded for its key."},
+	{ClaimUnsettled, "claim-unsettled", slog.LevelWarn, "A claim has no recorded outcome; the answer to the caller is that the call may have run."},
+	{OutcomeRecorded, "outcome-recorded", slog.LevelDebug, "The outcome of a call that must not be repeated was recorded in the table."},
+	{OutcomeUnsaved, "outcome-unsaved", slog.LevelError, "The outcome of a call could not be recorded; repeated calls are answered that it may have run."},
+	{AnswerUnfinished, "answer-unfinished", slog.LevelWarn, "An answer broke off after its first part; the caller received an explicit error."},
+	{RequestFaulty, "request-faulty", slog.LevelInfo, "A request was invalid: unknown route or key, or malformed; it was not run."},
+	{RequestLate, "request-late", slog.LevelInfo, "The first part of an answer came later than the route's aim; the detail has the times."},
+	{AttemptWithdrawn, "attempt-withdrawn", slog.LevelInfo, "A request waiting at a target was withdrawn before it began to run; the detail has the reason."},
+	{RequestHeld, "request-held", slog.LevelWarn, "A request is held because targets crashed while running copies of it; the detail has these targets and the request's fingerprint. Logged once by each process each time the request is held."},
+	{RequestReleased, "request-released", slog.LevelInfo, "A held request is no longer held: it was answered, the hold expired, or an operator released it."},
+
+	{TargetSeen, "target-seen", slog.LevelInfo, "A target was discovered."},
+	{TargetRestarted, "target-restarted", slog.LevelWarn, "A target has a new incarnation; the state known of the previous one was discarded."},
+	{TargetLeaving, "target-leaving", slog.LevelInfo, "A target is draining; it receives no new work in this incarnation."},
+	{TargetGone, "target-gone", slog.LevelInfo, "A target is no longer in the list and is not reachable."},
+	{TargetFailing, "target-failing", slog.LevelWarn, "A target failed several times in a row and receives only probes."},
+	{TargetHealthy, "target-healthy", slog.LevelInfo, "A failing target answers again."},
+	{EngineRan, "engine-ran", slog.LevelInfo, "A stand-in engine completed a request."},
+	{EngineCancelled, "engine-cancelled", slog.LevelInfo, "A stand-in engine cancelled a request whose caller closed the connection."},
+	{TargetWeights, "target-weights", slog.LevelInfo, "A target's weights changed; the detail has the source of the information."},
+	{TargetOutdated, "target-outdated", slog.LevelInfo, "A target's weights were superseded so long ago that no requests are sent to it to run on them; the detail has how long ago, as far as this process knows. Logged once for each target and weights."},
+	{TargetUnnamed, "target-unnamed", slog.LevelWarn, "An entry of the list of targets is invalid: it cannot be decoded, lacks a field, or has an unknown state or value. It is skipped; the detail has its id and the fault. Logged once while the fault lasts."},
+	{TargetEnded, "target-ended", slog.LevelWarn, "A target crashed while it ran requests of this process: nothing listens at its address, or it has a new incarnation. The detail has the crashed incarnation and the number of requests that failed with it."},
+	{TargetLimit, "target-limit", slog.LevelInfo, "The limit on requests per second from all routers that a target states in its answers appeared, changed or was removed; the detail has the limit and its source."},
+	{TargetRests, "target-rests", slog.LevelInfo, "A target refused a request and requested a back-off, during which this process sends it nothing; the detail has the duration."},
+
+	{ConfigAdopted, "config-adopted", slog.LevelInfo, "The process uses a new revision of the configuration."},
+	{ConfigConfirmed, "config-confirmed", slog.LevelInfo, "A revision was copied to the object store, which makes it confirmed."},
+	{ConfigRejected, "config-rejected", slog.LevelError, "A stored revision cannot be decoded or is older than the current one, which stays in effect."},
+	{StoreDown, "store-down", slog.LevelWarn, "The table or object store is unavailable."},
+	{StoreBack, "store-back", slog.LevelInfo, "The store is available again."},
+
+	{StoreHistoryGone, "store-history-gone", slog.LevelInfo, "The store's history no longer includes the last change read; the whole declaration is read again."},
+	{WeightsNamed, "weights-named", slog.LevelInfo, "Newer weights of a model were announced; the detail has the source and how long ago they were announced, as far as this process knows."},
+	{ConfigBehind, "config-behind", slog.LevelInfo, "A newer revision than the one in use is known; the detail has the source. Logged once for each revision; config-adopted follows within a second."},
+	{ConfigUnfetched, "config-unfetched", slog.LevelWarn, "A newer revision could not be fetched from another node; the detail has the node, the part received and the error."},
+	{StoreReturned, "store-returned", slog.LevelWarn, "The store was restored from an older copy: later writes are lost, and their versions are assigned again. The detail has the store's new and previous era. This process writes its own records again."},
+
+	{PeerSeen, "peer-seen", slog.LevelInfo, "A peer appeared, for the first time or again."},
+	{PeerLost, "peer-lost", slog.LevelWarn, "Nothing was received from a peer during the peer timeout."},
+	{RelayBegun, "relay-begun", slog.LevelInfo, "This process became a relay of a large fleet: it reads the store and the engines' events for other processes; the detail has the size of the fleet."},
+	{RelayEnded, "relay-ended", slog.LevelInfo, "This process is no longer a relay."},
+	{RelayTaken, "relay-taken", slog.LevelInfo, "This process receives the data of the store and the engines from a relay, which the detail names."},
+	{RelayLost, "relay-lost", slog.LevelWarn, "No relay provides current data of the store; this process reads the store itself until one does."},
+
+	{LeaseTaken, "lease-taken", slog.LevelInfo, "This process acquired a lease; the detail has its fencing token."},
 	{LeaseLost, "lease-lost", slog.LevelWarn, "This process no longer holds a lease."},
-	{OrderSent, "order-sent", slog.LevelInfo, "An order went to a target."},
-	{OrderDone, "order-done", slog.LevelInfo, "A target was read back in the ordered state."},
-	{OrderFailed, "order-failed", slog.LevelWarn, "An order was refused or had no effect; it is tried again later."},
-	{RolloutStopped, "rollout-stopped", slog.LevelError, "A rollout stopped by itself; the detail says why."},
-	{CacheExported, "cache-exported", slog.LevelInfo, "A hot prefix was exported to the kept KV cache."},
-	{CacheImported, "cache-imported", slog.LevelInfo, "A kept prefix was imported into an engine."},
-	{LeaseAwaited, "lease-awaited", slog.LevelInfo, "There is work under a lease that another process held last; the detail names it and its fencing number. Logged once for each piece of work."},
-	{RolloutPhase, "rollout-phase", slog.LevelInfo, "A roll-out to another release entered a phase at this process; the detail has the pool, the release, the phase and why."},
-	{RolloutUnsaved, "rollout-unsaved", slog.LevelWarn, "The state of a roll-out could not be read or written in the store; it is tried again."},
+	{OrderSent, "order-sent", slog.LevelInfo, "An order was sent to a target."},
+	{OrderDone, "order-done", slog.LevelInfo, "A target reports the ordered state."},
+	{OrderFailed, "order-failed", slog.LevelWarn, "An order was refused or had no effect; it is retried later."},
+	{RolloutStopped, "rollout-stopped", slog.LevelError, "A rollout stopped automatically; the detail has the reason."},
+	{CacheExported, "cache-exported", slog.LevelInfo, "A frequently used prefix was exported to the kept KV cache."},
+	{CacheImported, "cache-imported", slog.LevelInfo, "An exported prefix was imported into an engine."},
+	{LeaseAwaited, "lease-awaited", slog.LevelInfo, "There is work under a lease that another process held last; the detail has that process and its fencing token. Logged once for each piece of work."},
+	{RolloutPhase, "rollout-phase", slog.LevelInfo, "A roll-out of another release entered a new phase at this process; the detail has the pool, the release, the phase and the reason."},
+	{RolloutUnsaved, "rollout-unsaved", slog.LevelWarn, "The state of a roll-out could not be read from or written to the store; this is retried."},
 }
 
-// entry finds a code in the catalogue; an unknown code is a programmer error.
+// entry returns the description of a code; an unknown code is a programming error.
 func (c Code) entry() Entry {
 	for _, e := range catalogue {
 		if e.Code == c {
--- a/event/clock.go
+++ b/event/clock.go
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%d.%d", s.Time.UnixNano(), s.N)
 }
 
-// ParseStamp reads what [Stamp.String] wrote and fails on anything else.
+// ParseStamp parses the form that [Stamp.String] returns; any other text is an error.
 func ParseStamp(text string) (Stamp, error) {
 	nanos, counter, ok := strings.Cut(text, ".")
 	if !ok {
@@ -52,8 +52,8 @@
 	return Stamp{Time: time.Unix(0, ns).UTC(), N: uint32(n)}, nil
 }
 
-// maxAhead bounds how far a received stamp may pull the clock forward, so that
-// one process with a wrong clock cannot carry the whole fleet's time line away.
+// maxAhead bounds how far a received stamp may advance the clock, so that one process
+// with a wrong clock cannot shift the stamps of the whole fleet.
 const maxAhead = time.Minute
 
 // Clock is a hybrid logical clock, safe for concurrent use.
@@ -69,7 +69,7 @@
 	return &Clock{now: now}
 }
 
-// Now returns a stamp later than all stamps returned or observed before.
+// Now returns a stamp later than all stamps returned or accepted before.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,8 @@
 	return c.last
 }
 
-// Observe moves the clock past a stamp received from another process.
+// Observe advances the clock past a stamp received from another process. It ignores a stamp
+// more than maxAhead in the future.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/event/doc.go
+++ b/event/doc.go
@@ -1,8 +1,8 @@
-// Package event records what pathhead's processes did.
+// Package event records the events of pathhead's processes.
 //
-// Every event has a number from one catalogue, a stamp of a hybrid logical
-// clock and the identifiers of the request, attempt, target and revision it
-// concerns. Events go to a bounded ring in the process and, by log/slog, to its
-// log; [Merge] puts the rings of many processes into one causal time line.
-// Events never carry prompt text or keys.
+// Every event has a number from the catalogue, a stamp of a hybrid logical
+// clock and the identifiers of the request, attempt, target and revision that it
+// concerns. Events are stored in a bounded ring buffer in the process and written
+// to its log by log/slog; [Merge] combines the events of many processes in causal
+// order. Events never contain prompt text or keys.
 package event
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -23,12 +23,12 @@
 	require.Negative(t, first.Compare(second), "equal wall times are ordered by the counter")
 	ahead := Stamp{Time: wall.Add(time.Second), N: 4}
 	c.Observe(ahead)
-	require.Positive(t, c.Now().Compare(ahead), "what follows a message is after it")
+	require.Positive(t, c.Now().Compare(ahead), "a stamp after a message is later than the message's")
 	far := Stamp{Time: wall.Add(time.Hour)}
 	c.Observe(far)
-	require.Negative(t, c.Now().Compare(far), "a clock that is far off is not followed")
+	require.Negative(t, c.Now().Compare(far), "a stamp too far in the future is ignored")
 	wall = wall.Add(-time.Minute)
-	require.Positive(t, c.Now().Compare(ahead), "a clock set back does not go back")
+	require.Positive(t, c.Now().Compare(ahead), "stamps do not go back if the wall clock is set back")
 	parsed, err := ParseStamp(ahead.String())
 	require.NoError(t, err)
 	require.Equal(t, ahead, parsed)
@@ -87,7 +87,7 @@
 	require.Error(t, err)
 }
 
-// TestCatalogue keeps docs/EVENTS.md true to the code.
+// TestCatalogue checks that docs/EVENTS.md lists exactly the events of the catalogue.
 func TestCatalogue(t *testing.T) {
 	data, err := os.ReadFile("../docs/EVENTS.md")
 	require.NoError(t, err)
@@ -95,7 +95,7 @@
 	seen := make(map[Code]bool)
 	last := Code(0)
 	for _, e := range Catalogue() {
-		require.False(t, seen[e.Code], "number %d stands twice", e.Code)
+		require.False(t, seen[e.Code], "duplicate number %d", e.Code)
 		require.Greater(t, e.Code, last, "the catalogue is in order")
 		last = e.Code
 		seen[e.Code] = true
@@ -105,8 +105,8 @@
 	require.Equal(t, len(seen), strings.Count(doc, "\n| ")-1, "docs/EVENTS.md has a line that the code does not")
 }
 
-// With sampling, a request that goes well is left out, and one that goes wrong is
-// told from its first event on.
+// With sampling, the events of a successful request are not logged, and those of a failed
+// request are all logged, including the events before the failure.
 func TestSample(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -120,5 +120,5 @@
 	require.Len(t, lines, 2)
 	require.Contains(t, lines[0], "placed ill")
 	r.Record(Event{Code: RequestRefused, Request: "ill"})
-	require.Equal(t, 1, strings.Count(out.String(), "placed ill"), "each event is told once")
+	require.Equal(t, 1, strings.Count(out.String(), "placed ill"), "each event is logged once")
 }
--- a/event/lateness.go
+++ b/event/lateness.go
@@ -7,17 +7,17 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Lateness says when an answer began that began after its route's aim; all times
-// count from the request's arrival. It is the detail of [RequestLate].
+// Lateness holds the times of an answer whose first part came after the route's aim,
+// measured from the request's arrival. It is the detail of [RequestLate].
 type Lateness struct {
 	First time.Duration
 	Aim   time.Duration
-	// Sent is when its last attempt left, Whole when all of it was passed on.
+	// Sent is when the last attempt was sent, Finished when the complete answer was forwarded.
 	Sent     time.Duration
 	Finished time.Duration
 }
 
-// latenessFormat is how a lateness is written, with its times in the order of the fields.
+// latenessFormat is the text form of a lateness, with the times in the order of the fields.
 const latenessFormat = "first part after %s the aim is %s sent after %s whole after %s"
 
 // String renders the lateness with times in milliseconds.
@@ -26,7 +26,7 @@
 	return fmt.Sprintf(latenessFormat, ms(l.First).String()+",", ms(l.Aim).String()+";", ms(l.Sent).String()+",", ms(l.Finished))
 }
 
-// ParseLateness reads what [Lateness.String] wrote and fails on anything else.
+// ParseLateness parses the form that [Lateness.String] returns; any other text is an error.
 func ParseLateness(text string) (Lateness, error) {
 	var times [4]string
 	if _, err := fmt.Sscanf(text, latenessFormat, &times[0], &times[1], &times[2], &times[3]); err != nil {
--- a/event/recorder.go
+++ b/event/recorder.go
@@ -14,7 +14,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Event is one thing that happened in one process.
+// Event is a single event of one process.
 type Event struct {
 	Stamp    Stamp  `json:"-"`
 	At       string `json:"at"`
@@ -27,7 +27,7 @@
 	Target   string `json:"target,omitempty"`
 	Revision int64  `json:"revision,omitempty"`
 	Detail   string `json:"detail,omitempty"`
-	// told says that the event is in the log.
+	// logged says that the event was written to the log.
 	logged bool
 }
 
@@ -40,7 +40,7 @@
 	Until   time.Time
 }
 
-// Match reports whether the event passes the filter.
+// Match reports whether the event matches the filter.
 func (f Filter) Match(e Event) bool {
 	switch {
 	case f.Request != "" && f.Request != e.Request:
@@ -57,7 +57,7 @@
 	return true
 }
 
-// Query renders the filter as the query of an operators' door.
+// Query returns the filter as URL query parameters for the operators' listener.
 func (f Filter) Query() url.Values {
 	q := make(url.Values)
 	for name, value := range map[string]string{"request": f.Request, "organisation": f.Org, "target": f.Target} {
@@ -74,7 +74,7 @@
 	return q
 }
 
-// ParseFilter reads what [Filter.Query] rendered and fails on a time of another form.
+// ParseFilter parses the parameters that [Filter.Query] returns; an invalid time is an error.
 func ParseFilter(q url.Values) (Filter, error) {
 	f := Filter{Request: q.Get("request"), Org: q.Get("organisation"), Target: q.Get("target")}
 	for name, into := range map[string]*time.Time{"since": &f.Since, "until": &f.Until} {
@@ -91,7 +91,7 @@
 	return f, nil
 }
 
-// UnmarshalJSON reads an event and its stamp.
+// UnmarshalJSON decodes an event and its stamp.
 func (e *Event) UnmarshalJSON(data []byte) error {
 	type plain Event
 	if err := json.Unmarshal(data, (*plain)(e)); err != nil {
@@ -102,47 +102,47 @@
 	return err
 }
 
-// Recorder keeps the newest events of a process in a ring and writes them to its log.
+// Recorder stores the newest events of a process in a ring buffer and writes them to its log.
 type Recorder struct {
 	process string
 	clock   *Clock
 	log     *slog.Logger
 
-	// sample is how many requests that go well there are to one that is logged;
-	// zero logs by level alone.
+	// sample is the number of successful requests for each one that is logged; zero selects
+	// events by level only.
 	sample uint64
 
 	mu   sync.Mutex
 	ring []Event
 	next int
 	full bool
-	// troubled are the requests with which something went wrong lately, before those
-	// that did so earlier: all that follows is told of them too.
+	// recentFailures and olderFailures are the requests that had a failure recently; all their
+	// further events are logged too.
 	recentFailures, olderFailures map[string]bool
 }
 
-// failureSetSize is the number of requests after which the older of the two sets is forgotten.
+// failureSetSize is the number of requests in recentFailures at which it replaces olderFailures.
 const failureSetSize = 512
 
-// defaultSize is the number of events kept: at 36 requests/s, the share of one
-// node of 390 at 14,000/s, and four events a request it holds about 28 s.
+// defaultSize is the number of events in the ring: at 36 requests/s, the share of one of
+// 390 nodes at 14,000 requests/s, and four events for each request it holds about 28 s.
 const defaultSize = 4096
 
 // Option changes a [Recorder] at its construction.
 type Option func(*Recorder)
 
-// WithSize sets how many events the ring keeps.
+// WithSize sets the number of events in the ring.
 func WithSize(n int) Option {
 	return func(r *Recorder) { r.ring = make([]Event, n) }
 }
 
-// WithLogger sets the log that events are written to; without it they are only kept.
+// WithLogger sets the logger to which events are written; without it they are only stored.
 func WithLogger(l *slog.Logger) Option {
 	return func(r *Recorder) { r.log = l }
 }
 
-// WithSample makes the log tell requests whole: one in n of those that go well,
-// and each other one from its first event on once something goes wrong with it.
+// WithSample logs all events of some requests: of one in n successful requests, and of each
+// request that has a failure, including the events before the failure.
 func WithSample(n int) Option {
 	return func(r *Recorder) { r.sample = uint64(n) }
 }
@@ -171,7 +171,7 @@
 // Clock returns the recorder's clock, for stamps on messages to other processes.
 func (r *Recorder) Clock() *Clock { return r.clock }
 
-// Record stamps an event, keeps it and logs it.
+// Record stamps an event, stores it and logs it.
 func (r *Recorder) Record(e Event) {
 	entry := e.Code.entry()
 	e.Stamp = r.clock.Now()
@@ -192,15 +192,15 @@
 	r.log.LogAttrs(context.Background(), level, e.Name, attrs(e)...)
 }
 
-// logRequest logs an event of a request. What is not worth a line while all goes
-// well is kept, and told as soon as it does not.
+// logRequest logs an event of a request if the request is sampled or has failed. Otherwise it
+// only stores the event, which is logged if the request fails later.
 func (r *Recorder) logRequest(e Event, level slog.Level) {
-	wrong := level >= slog.LevelInfo
-	if !wrong && !r.failedRecently(e.Request) && xxh3.HashString(e.Request)%r.sample != 0 {
+	failure := level >= slog.LevelInfo
+	if !failure && !r.failedRecently(e.Request) && xxh3.HashString(e.Request)%r.sample != 0 {
 		r.keep(e)
 		return
 	}
-	if wrong {
+	if failure {
 		r.recordFailure(e.Request)
 		for _, earlier := range r.takeUnlogged(e.Request) {
 			r.write(earlier, slog.LevelInfo)
@@ -211,7 +211,7 @@
 	r.write(e, max(level, slog.LevelInfo))
 }
 
-// failedRecently reports whether something went wrong with a request lately.
+// failedRecently reports whether a request had a failure recently.
 func (r *Recorder) failedRecently(request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,7 +227,7 @@
 	r.recentFailures[request] = true
 }
 
-// takeUnlogged returns the kept events of a request that were not logged, and notes that they are.
+// takeUnlogged returns the stored events of a request that were not logged, and marks them as logged.
 func (r *Recorder) takeUnlogged(request string) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -272,7 +272,7 @@
 	return as
 }
 
-// Events returns the kept events that pass the filter, oldest first.
+// Events returns the stored events that match the filter, oldest first.
 func (r *Recorder) Events(f Filter) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -292,7 +292,7 @@
 	return out
 }
 
-// Merge puts the events of many processes into one causal order, by stamp and then process.
+// Merge combines the events of many processes in causal order, sorted by stamp and then process.
 func Merge(lists ...[]Event) []Event {
 	out := slices.Concat(lists...)
 	slices.SortStableFunc(out, func(a, b Event) int {
--- a/event/sampling_test.go
+++ b/event/sampling_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Once something went wrong with a request, all that came before and all that
-// follows is in the log; of requests that go well only some are.
+// If a request has a failure, all its events before and after it are logged; of successful
+// requests only a sample is.
 func TestFailedRequestLoggedInFull(t *testing.T) {
 	var out bytes.Buffer
 	r := New("p", WithLogger(slog.New(slog.NewTextHandler(&out, nil))), WithSample(1<<30))
