--- a/policy/config.go
+++ b/policy/config.go
@@ -10,10 +10,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Version is the only value of the version field that this program reads.
+// Version is the only value of the version field that this program accepts.
 const Version = "pathhead/v1"
 
-// Config is one declared configuration, as it stands in the file.
+// Config is one configuration as declared in the file.
 type Config struct {
 	Version       string         `yaml:"version" json:"version"`
 	Organisations []Organisation `yaml:"organisations" json:"organisations"`
@@ -26,40 +26,41 @@
 	Requests      Requests       `yaml:"requests,omitempty" json:"requests"`
 }
 
-// Organisation is a customer: who calls, with which keys, and what it may use.
+// Organisation is a customer: its API keys, weight and limits.
 type Organisation struct {
 	Name   string            `yaml:"name" json:"name"`
 	Labels map[string]string `yaml:"labels,omitempty" json:"labels,omitempty"`
 	Keys   []Key             `yaml:"keys" json:"keys"`
 	Weight float64           `yaml:"weight,omitempty" json:"weight,omitempty"`
 	Limits Limits            `yaml:"limits,omitempty" json:"limits"`
-	// SharesCache lets the organisation's cached prompt parts serve other
-	// organisations that share theirs, and the other way round.
+	// SharesCache lets the organisation's cached prompt prefixes serve other organisations that
+	// also share theirs, and vice versa.
 	SharesCache bool `yaml:"sharesCache,omitempty" json:"sharesCache,omitempty"`
-	// Priority goes before that of routes and policies where it is given.
+	// Priority overrides the priority of routes and policies if it is set.
 	Priority *int `yaml:"priority,omitempty" json:"priority,omitempty"`
 }
 
-// Key is an API key, kept as the SHA-256 of its text in hexadecimal.
+// Key is an API key, stored as the hexadecimal SHA-256 of its text.
 type Key struct {
 	ID     string `yaml:"id" json:"id"`
 	SHA256 string `yaml:"sha256" json:"sha256"`
 }
 
-// Limits bounds an organisation over the whole fleet; zero means no bound.
+// Limits bounds an organisation across the whole fleet; zero means no limit.
 type Limits struct {
 	RequestsPerSecond float64 `yaml:"requestsPerSecond,omitempty" json:"requestsPerSecond,omitempty"`
 	TokensPerSecond   float64 `yaml:"tokensPerSecond,omitempty" json:"tokensPerSecond,omitempty"`
 	InFlight          int     `yaml:"inFlight,omitempty" json:"inFlight,omitempty"`
-	// RequestBurst and TokenBurst are what may come at once on top of the rates; zero
-	// means one second's worth.
+	// RequestBurst and TokenBurst are the bursts allowed on top of the rates; zero means one
+	// second's worth.
 	RequestBurst float64 `yaml:"requestBurst,omitempty" json:"requestBurst,omitempty"`
 	TokenBurst   float64 `yaml:"tokenBurst,omitempty" json:"tokenBurst,omitempty"`
-	// CallTokens is what a request counts in tokens that says nothing of its size.
+	// CallTokens is the number of tokens that a request of unknown size counts as.
 	CallTokens int `yaml:"callTokens,omitempty" json:"callTokens,omitempty"`
 }
 
-// Group gives a weight and limits to the organisations its selector matches, unless they state their own.
+// Group gives a weight and limits to the organisations that its selector matches, unless they set
+// their own.
 type Group struct {
 	Name     string  `yaml:"name" json:"name"`
 	Selector string  `yaml:"selector" json:"selector"`
@@ -67,10 +68,10 @@
 	Limits   Limits  `yaml:"limits,omitempty" json:"limits"`
 }
 
-// Kind says what the targets of a pool are.
+// Kind is the kind of a pool's targets.
 type Kind string
 
-// The kinds of target.
+// The kinds of targets.
 const (
 	KindEngine  Kind = "engine"
 	KindService Kind = "service"
@@ -84,75 +85,82 @@
 	Selector string `yaml:"selector" json:"selector"`
 	// Replicas is the number of targets that should serve each model of the pool; zero means all.
 	Replicas int `yaml:"replicas,omitempty" json:"replicas,omitempty"`
-	// Window is the number of requests one target runs at once.
+	// Window is the number of requests that one target runs concurrently.
 	Window int `yaml:"window,omitempty" json:"window,omitempty"`
-	// ChecksFencing says that targets refuse orders that carry an old fencing number.
+	// ChecksFencing means that targets reject orders with an outdated fencing token.
 	ChecksFencing bool `yaml:"checksFencing,omitempty" json:"checksFencing,omitempty"`
-	// TrustRefusals says that a target's refusal before running is believed.
+	// TrustRefusals means that a target's statement that it refused a request before running it is
+	// trusted.
 	TrustRefusals bool `yaml:"trustRefusals,omitempty" json:"trustRefusals,omitempty"`
-	// Fetches says that an engine of the pool can fetch cached parts from another one.
+	// Fetches means that an engine of the pool can fetch cached blocks from another engine.
 	Fetches bool `yaml:"fetches,omitempty" json:"fetches,omitempty"`
-	// LinkRate is the rate at which one engine of the pool sends cached parts, in tokens per second.
+	// LinkRate is the rate at which one engine of the pool sends cached blocks, in tokens per
+	// second.
 	LinkRate float64 `yaml:"linkRate,omitempty" json:"linkRate,omitempty"`
-	// StoreRate is the rate of the link of the store that the pool's engines use, in tokens per second.
+	// StoreRate is the rate of the link to the store that the pool's engines use, in tokens per
+	// second.
 	StoreRate float64 `yaml:"storeRate,omitempty" json:"storeRate,omitempty"`
-	// CacheTokens is the number of tokens that one engine of the pool holds, zero if not known.
+	// CacheTokens is the cache capacity of one engine of the pool in tokens, or zero if unknown.
 	CacheTokens int `yaml:"cacheTokens,omitempty" json:"cacheTokens,omitempty"`
-	// CacheReaders is the number of routers that may follow one engine's cache events at once; zero means none.
+	// CacheReaders is the number of routers that may follow one engine's cache events concurrently;
+	// zero means none.
 	CacheReaders int `yaml:"cacheReaders,omitempty" json:"cacheReaders,omitempty"`
-	// MaxConns is the number of connections that one target takes from all routers; zero means no bound.
+	// MaxConns is the number of connections that one target accepts from all routers together; zero
+	// means no limit.
 	MaxConns int `yaml:"maxConns,omitempty" json:"maxConns,omitempty"`
 }
 
-// Model is a model that callers may name, with the weights that must answer.
+// Model is a model that callers may name, with the weights that must serve it.
 type Model struct {
 	Name            string   `yaml:"name" json:"name"`
 	Weights         string   `yaml:"weights" json:"weights"`
 	Pool            string   `yaml:"pool" json:"pool"`
 	Adapters        []string `yaml:"adapters,omitempty" json:"adapters,omitempty"`
 	MaxPromptTokens int      `yaml:"maxPromptTokens,omitempty" json:"maxPromptTokens,omitempty"`
-	// Floor is the number of serving replicas that a rollout never goes below.
+	// Floor is the minimum number of serving replicas that a rollout must keep.
 	Floor int `yaml:"floor,omitempty" json:"floor,omitempty"`
-	// KeptPool names the pool that keeps exported KV cache for this model.
+	// KeptPool names the pool that stores exported KV caches of this model.
 	KeptPool string `yaml:"keptPool,omitempty" json:"keptPool,omitempty"`
 }
 
 // Route sends calls under a host and path to a pool.
 type Route struct {
 	Name string `yaml:"name" json:"name"`
-	// Host is the name that callers call; a route without one is for every host.
+	// Host is the host name that callers use; a route without one applies to every host.
 	Host string `yaml:"host,omitempty" json:"host,omitempty"`
 	Path string `yaml:"path" json:"path"`
 	Pool string `yaml:"pool" json:"pool"`
-	// Split shares the route's calls between pools by weight, in place of Pool.
+	// Split divides the route's calls between pools by weight; it replaces Pool.
 	Split   []Share  `yaml:"split,omitempty" json:"split,omitempty"`
 	Timeout Duration `yaml:"timeout,omitempty" json:"timeout,omitempty"`
-	// Aim is the time to the first part of an answer that callers hope for; zero means none is stated.
+	// Aim is the target for the time to the first part of an answer; zero means none is set.
 	Aim Duration `yaml:"aim,omitempty" json:"aim,omitempty"`
-	// MaxGap is the longest pause between the parts of a stream that callers hope for.
+	// MaxGap is the target for the longest pause between the parts of a stream.
 	MaxGap Duration `yaml:"maxGap,omitempty" json:"maxGap,omitempty"`
-	// Attempts is the greatest number of targets that one call is sent to; zero means the program's own bound.
+	// Attempts is the maximum number of targets that one call is sent to; zero means the program's
+	// default.
 	Attempts int `yaml:"attempts,omitempty" json:"attempts,omitempty"`
-	// Priority orders calls that wait; the greater goes first.
+	// Priority orders waiting calls; the highest goes first.
 	Priority int `yaml:"priority,omitempty" json:"priority,omitempty"`
-	// Public routes take calls without a key.
+	// Public means that the route accepts calls without a key.
 	Public bool `yaml:"public,omitempty" json:"public,omitempty"`
-	// Streams says that answers are event streams, Resumable that a broken one may go on at another target.
+	// Streams means that answers are event streams; Resumable means that an interrupted one may
+	// continue at another target.
 	Streams   bool `yaml:"streams,omitempty" json:"streams,omitempty"`
 	Resumable bool `yaml:"resumable,omitempty" json:"resumable,omitempty"`
-	// Once says that every call of the route runs at most once.
+	// Once means that every call of the route runs at most once.
 	Once bool `yaml:"once,omitempty" json:"once,omitempty"`
 	// NotRepeatable lists "METHOD /path" calls that run at most once.
 	NotRepeatable []string `yaml:"notRepeatable,omitempty" json:"notRepeatable,omitempty"`
 }
 
-// Share is a pool's part of a route's calls.
+// Share is a pool's share of a route's calls.
 type Share struct {
 	Pool   string `yaml:"pool" json:"pool"`
 	Weight int    `yaml:"weight" json:"weight"`
 }
 
-// Policy changes how requests whose labels match its selector are served; the first match counts.
+// Policy changes how requests whose labels match its selector are served; the first match applies.
 type Policy struct {
 	Name     string `yaml:"name" json:"name"`
 	Selector string `yaml:"selector" json:"selector"`
@@ -160,28 +168,29 @@
 	Priority int    `yaml:"priority,omitempty" json:"priority,omitempty"`
 }
 
-// Placement weighs the measures against each other.
+// Placement configures how candidate targets are scored.
 type Placement struct {
-	// RecomputeWeight is the price of a prefill second in seconds of time to first token.
+	// RecomputeWeight is the cost of one second of prefill in seconds of time to first token.
 	RecomputeWeight float64 `yaml:"recomputeWeight,omitempty" json:"recomputeWeight,omitempty"`
-	// Horizon is the age up to which a cached block is believed before an engine's own is learned.
+	// Horizon is the maximum age of a cached block that is still assumed to be present, until the
+	// engine's own retention time is learned.
 	Horizon Duration `yaml:"horizon,omitempty" json:"horizon,omitempty"`
 }
 
-// Requests bounds every request.
+// Requests sets bounds for all requests.
 type Requests struct {
 	Timeout      Duration `yaml:"timeout,omitempty" json:"timeout,omitempty"`
 	QueueTimeout Duration `yaml:"queueTimeout,omitempty" json:"queueTimeout,omitempty"`
 	MaxBody      Bytes    `yaml:"maxBody,omitempty" json:"maxBody,omitempty"`
-	// RetryBudget is the share of requests that may be sent a second time, from 0 to 1.
+	// RetryBudget is the fraction of requests that may be retried, from 0 to 1.
 	RetryBudget float64 `yaml:"retryBudget,omitempty" json:"retryBudget,omitempty"`
-	// RetryReserve is the number of retries of a pool beyond that share which all
-	// routers together may make in a burst.
+	// RetryReserve is the number of retries of a pool beyond that fraction that all routers
+	// together may make in a burst.
 	RetryReserve float64 `yaml:"retryReserve,omitempty" json:"retryReserve,omitempty"`
-	// RetryWindow is the time over which retries are counted against requests, where a reserve is stated.
+	// RetryWindow is the time over which retries are counted against requests if a reserve is set.
 	RetryWindow Duration `yaml:"retryWindow,omitempty" json:"retryWindow,omitempty"`
-	// LimitOverage is the share that all routers together may go over an organisation's limit
-	// by for some seconds, and LimitSlack what they may use then besides.
+	// LimitOverage is the fraction by which all routers together may exceed an organisation's limit
+	// for some seconds; LimitSlack is what they may use on top of that.
 	LimitOverage float64 `yaml:"limitOverage,omitempty" json:"limitOverage,omitempty"`
 	LimitSlack   float64 `yaml:"limitSlack,omitempty" json:"limitSlack,omitempty"`
 }
@@ -189,7 +198,7 @@
 // Duration is a time.Duration written with its unit, as in "250ms".
 type Duration time.Duration
 
-// UnmarshalYAML reads a duration and refuses a number without a unit.
+// UnmarshalYAML parses a duration and rejects a number without a unit.
 func (d *Duration) UnmarshalYAML(node ast.Node) error {
 	v, err := time.ParseDuration(scalar(node))
 	if err != nil {
@@ -217,7 +226,7 @@
 	{"B", 1},
 }
 
-// UnmarshalYAML reads a size and refuses a number without a unit.
+// UnmarshalYAML parses a size and rejects a number without a unit.
 func (b *Bytes) UnmarshalYAML(node ast.Node) error {
 	for _, u := range byteUnits {
 		digits, ok := strings.CutSuffix(scalar(node), u.suffix)
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -11,17 +11,17 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Problem is one fault in a configuration, at its place in the file.
+// Problem is one error or warning about a configuration, with its location in the file.
 type Problem struct {
 	File    string
 	Line    int
 	Path    string
 	Message string
-	// Warning marks what is allowed but probably not meant.
+	// Warning marks a setting that is allowed but probably unintended.
 	Warning bool
 }
 
-// Error renders the problem as file:line: path: message.
+// Error formats the problem as file:line: path: message.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -39,7 +39,8 @@
 	return b.String()
 }
 
-// Parse reads a configuration, fills in defaults and returns every fault it has as *Problem errors joined together.
+// Parse reads a configuration and fills in defaults. It returns all validation errors as *Problem
+// values joined into one error.
 func Parse(file string, data []byte) (*Config, error) {
 	cfg, err := decode(file, data)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return nil, p
 }
 
-// locate fills in the line of each problem from the YAML path it names.
+// locate sets the line of each problem from its YAML path.
 func locate(file string, data []byte, problems []*Problem) {
 	tree, err := parser.ParseBytes(data, 0)
 	for _, p := range problems {
@@ -94,7 +95,7 @@
 	}
 }
 
-// lineOf finds the line of a path or, where a field is absent, of what should hold it.
+// lineOf returns the line of a path or, if the field is absent, of its nearest existing parent.
 func lineOf(tree *ast.File, path string) int {
 	for path != "" {
 		if yp, err := yaml.PathString("$." + path); err == nil {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// minimal is a valid file with each section once; cases replace a part of it.
+// minimal is a valid file in which each section occurs once; test cases replace a part of it.
 const minimal = `version: pathhead/v1
 organisations:
   - name: a
@@ -65,7 +65,7 @@
 		"other version":           {old: "pathhead/v1", new: "pathhead/v9", line: 1, message: "must be \"pathhead/v1\""},
 		"unknown field":           {old: "labels:", new: "lables:", line: 4, message: "unknown field"},
 		"not YAML":                {old: "organisations:", new: "organisations: [", message: ""},
-		"duplicate organisation":  {old: "name: b", new: "name: a", line: 8, message: "stands twice"},
+		"duplicate organisation":  {old: "name: b", new: "name: a", line: 8, message: "is a duplicate"},
 		"bad name":                {old: "name: b", new: "name: 'b b'", line: 8, message: "is not a name"},
 		"short key hash":          {old: "000001", new: "01", line: 7, message: "64 hexadecimal digits"},
 		"negative weight":         {old: "weight: 5", new: "weight: -5", line: 10, message: "negative"},
@@ -184,7 +184,7 @@
 	}
 }
 
-// TestSchema keeps docs/schema.json true: it names the fields that the code reads, no more and no fewer.
+// TestSchema checks that docs/schema.json lists exactly the fields that the code reads.
 func TestSchema(t *testing.T) {
 	data, err := os.ReadFile("../docs/schema.json")
 	require.NoError(t, err)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -14,7 +14,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Snapshot is a compiled configuration at one revision; it never changes.
+// Snapshot is a compiled configuration at one revision. It is immutable.
 type Snapshot struct {
 	Revision int64
 	Config   *Config
@@ -25,22 +25,22 @@
 	models   map[string]*Model
 	policies []compiledPolicy
 	calls    map[string]bool
-	// routes are the routes of each host, those with the longest path first.
+	// routes holds the routes of each host, those with the longest path first.
 	routes map[string][]*Route
 }
 
-// Org is an organisation with its group's weight and limits resolved.
+// Org is an organisation with its group's weight and limits applied.
 type Org struct {
 	Name   string
 	Labels labels.Set
 	Weight float64
 	Limits Limits
-	// SharesCache and Priority are as the configuration has them.
+	// SharesCache and Priority are copied from the configuration.
 	SharesCache bool
 	Priority    *int
 }
 
-// compiledKey is an API key's hash and whose it is.
+// compiledKey is the hash of an API key with the organisation that it belongs to.
 type compiledKey struct {
 	sum [sha256.Size]byte
 	org *Org
@@ -62,7 +62,8 @@
 	selector labels.Selector
 }
 
-// Compile prepares a validated configuration for use at a revision; it fails if a selector or key does not parse.
+// Compile prepares a validated configuration for use at a revision. It fails if a selector or a key
+// does not parse.
 func Compile(cfg *Config, revision int64) (*Snapshot, error) {
 	s := &Snapshot{
 		Revision: revision,
@@ -114,7 +115,7 @@
 		for _, key := range o.Keys {
 			sum, err := hex.DecodeString(key.SHA256)
 			if err != nil || len(sum) != sha256.Size {
-				return errs.Errorf("organisation %q: key %q is not a SHA-256", o.Name, key.ID)
+				return errs.Errorf("organisation %q: key %q is not a hexadecimal SHA-256", o.Name, key.ID)
 			}
 			digest := [sha256.Size]byte(sum)
 			s.keys[digest] = compiledKey{sum: digest, org: org}
@@ -123,7 +124,8 @@
 	return nil
 }
 
-// orgLabels adds the organisation's name to its labels, so that selectors can name one.
+// orgLabels adds the organisation's name to its labels, so that selectors can match a single
+// organisation.
 func orgLabels(o Organisation) labels.Set {
 	set := labels.Set{"organisation": o.Name}
 	for k, v := range o.Labels {
@@ -162,8 +164,8 @@
 
 // Authenticate returns the organisation that an API key belongs to.
 //
-// The key is hashed before the look-up, so what an observer could time depends
-// on a hash that a stranger cannot steer; the last comparison takes constant time.
+// The key is hashed before the lookup, so that timing can only reveal a hash that an attacker
+// cannot choose; the final comparison takes constant time.
 func (s *Snapshot) Authenticate(key string) (*Org, bool) {
 	sum := sha256.Sum256([]byte(key))
 	k, ok := s.keys[sum]
@@ -194,7 +196,8 @@
 	return out
 }
 
-// Model returns a model by the name callers give, which may carry an adapter as model:adapter.
+// Model returns a model by the name that callers use, which may include an adapter as
+// model:adapter.
 func (s *Snapshot) Model(name string) (m *Model, adapter string, ok bool) {
 	base, adapter, _ := strings.Cut(name, ":")
 	m, ok = s.models[base]
@@ -222,8 +225,8 @@
 	}
 }
 
-// RouteFor returns the route of a host with the longest path that the given one
-// is under. Routes without a host serve the hosts that have no such route.
+// RouteFor returns the route of a host with the longest path that is a prefix of the given one.
+// Routes without a host apply if no route of the host matches.
 func (s *Snapshot) RouteFor(host, path string) (*Route, bool) {
 	for _, h := range [...]string{host, ""} {
 		for _, r := range s.routes[h] {
@@ -235,7 +238,7 @@
 	return nil, false
 }
 
-// Repeatable reports whether a plain call may be sent more than once.
+// Repeatable reports whether a call to a plain service may be sent more than once.
 func (s *Snapshot) Repeatable(method, path string) bool {
 	return !s.calls[method+" "+strings.TrimSuffix(path, "/")] && !s.calls[method+" "+path]
 }
@@ -250,10 +253,10 @@
 	return Policy{}, false
 }
 
-// Timeout returns the deadline of a request counted from its arrival.
+// Timeout returns the time limit of a request, counted from its arrival.
 func (s *Snapshot) Timeout() time.Duration { return time.Duration(s.Config.Requests.Timeout) }
 
-// Unmatched returns a warning for each pool that none of the given label sets belongs to.
+// Unmatched returns a warning for each pool whose selector matches none of the given label sets.
 func (s *Snapshot) Unmatched(targets []map[string]string) []*Problem {
 	var out []*Problem
 	for i, p := range s.Pools() {
@@ -262,7 +265,7 @@
 		}
 		out = append(out, &Problem{
 			Path:    fmt.Sprintf("pools[%d].selector", i),
-			Message: fmt.Sprintf("%q matches no target now", p.Selector),
+			Message: fmt.Sprintf("%q matches no target", p.Selector),
 			Warning: true,
 		})
 	}
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -11,7 +11,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// The defaults of fields that a configuration leaves out.
+// Defaults of omitted fields, and upper bounds.
 const (
 	defaultWeight          = 1.0
 	defaultWindow          = 8
@@ -27,7 +27,7 @@
 	maxBodyBound           = 64 << 20
 )
 
-// setDefaults fills in what the file leaves out, so that the stored form is whole.
+// setDefaults fills in omitted fields, so that the stored configuration is complete.
 func (c *Config) setDefaults() {
 	for i := range c.Pools {
 		p := &c.Pools[i]
@@ -56,7 +56,7 @@
 	}
 }
 
-// checker collects problems while the sections of a configuration are read.
+// checker collects problems while it validates a configuration section by section.
 type checker struct {
 	problems []*Problem
 	pools    map[string]Kind
@@ -81,16 +81,16 @@
 	k.problems = append(k.problems, &Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// namePattern keeps names fit for label values, table keys and metric labels.
+// namePattern limits names to what is valid in label values, table keys and metric labels.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9]([a-zA-Z0-9._-]{0,61}[a-zA-Z0-9])?$`)
 
-// name checks the form of a name and that it is the first of its section.
+// name checks that a name is well-formed and unique in its section.
 func (k *checker) name(path, name string, seen map[string]bool) {
 	switch {
 	case !namePattern.MatchString(name):
 		k.add(path, "%q is not a name of 1 to 63 letters, digits, dots, dashes and underscores", name)
 	case seen[name]:
-		k.add(path, "%q stands twice", name)
+		k.add(path, "%q is a duplicate", name)
 	}
 	seen[name] = true
 }
@@ -118,7 +118,7 @@
 func (k *checker) limits(path string, l Limits) {
 	for _, v := range []float64{l.RequestsPerSecond, l.TokensPerSecond, l.RequestBurst, l.TokenBurst, float64(l.InFlight), float64(l.CallTokens)} {
 		if !(v >= 0) || math.IsInf(v, 1) {
-			k.add(path, "limits must be numbers from 0")
+			k.add(path, "limits must be non-negative numbers")
 			return
 		}
 	}
@@ -209,10 +209,10 @@
 	}
 }
 
-// callPattern is the form of an entry of notRepeatable.
+// callPattern matches an entry of notRepeatable.
 var callPattern = regexp.MustCompile(`^(POST|PUT|PATCH|DELETE|GET) /\S*$`)
 
-// reservedPath is where callers reach the models; no route may hide it.
+// reservedPath is the path of the models' API. A route without a host must not hide it.
 const reservedPath = "/v1/"
 
 func (k *checker) checkRoutes(routes []Route) {
@@ -233,7 +233,7 @@
 		case r.Host == "" && (r.Path == "/" || strings.HasPrefix(r.Path, reservedPath)):
 			k.add(path+".path", "%q would hide the models' own paths", r.Path)
 		case paths[[2]string{r.Host, r.Path}]:
-			k.add(path+".path", "%q stands twice", r.Path)
+			k.add(path+".path", "%q is a duplicate", r.Path)
 		}
 		paths[[2]string{r.Host, r.Path}] = true
 		k.checkRange(path+".timeout", time.Duration(r.Timeout), maxTimeout)
@@ -278,8 +278,8 @@
 	}
 }
 
-func (k *checker) checkRange(path string, d, most time.Duration) {
-	if d <= 0 || d > most {
-		k.add(path, "is %s, must be more than 0 and at most %s", d, most)
+func (k *checker) checkRange(path string, d, maximum time.Duration) {
+	if d <= 0 || d > maximum {
+		k.add(path, "is %s, must be more than 0 and at most %s", d, maximum)
 	}
 }
