--- a/dispatch/tick_test.go
+++ b/dispatch/tick_test.go
@@ -19,10 +19,10 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const every, queueTime = 20 * time.Millisecond, 100 * time.Millisecond
-		var looks atomic.Int64
+		var clockReads atomic.Int64
 		b := route.NewBoard()
 		d := New(b, WithClock(func() time.Time {
-			looks.Add(1)
+			clockReads.Add(1)
 			return time.Now()
 		}))
 		cfg := &policy.Config{
@@ -35,7 +35,7 @@
 		ctx := t.Context()
 		go d.Tick(ctx, every)
 		time.Sleep(10 * time.Second)
-		require.LessOrEqual(t, looks.Load(), int64(50), "looks at the clock in 10 s without requests")
+		require.LessOrEqual(t, clockReads.Load(), int64(50), "clock reads in 10 s without requests")
 		for range 5 {
 			time.Sleep(37 * time.Millisecond)
 			begun := time.Now()
--- a/fleet/adoption.go
+++ b/fleet/adoption.go
@@ -47,15 +47,15 @@
 	return a
 }
 
-// Strict makes a valid confirmation the only condition under which the process serves. Use it for a
-// process that cannot tell whether the table is unavailable to everyone or only to itself.
+// Strict makes the process serve only with a valid confirmation. Use it for a process that cannot
+// tell whether the table is unavailable to everyone or only to itself.
 func (a *Adoption) Strict() { a.strict = true }
 
 // Confirm records the newest revision in force according to the table or the object store, read by
-// a call that started at begun.
-func (a *Adoption) Confirm(begun time.Time, revision int64) {
+// a call that started at startedAt.
+func (a *Adoption) Confirm(startedAt time.Time, revision int64) {
 	a.known = max(a.known, revision)
-	a.recordConfirmation(begun, revision)
+	a.recordConfirmation(startedAt, revision)
 }
 
 // recordConfirmation records that nothing newer than a revision was in force at a given time.
@@ -83,14 +83,14 @@
 	TableDown    bool
 }
 
-// ObservePeer records a peer's status, received by a call that started at begun.
-func (a *Adoption) ObservePeer(begun time.Time, status ConfigStatus) {
+// ObservePeer records a peer's status, received by a call that started at startedAt.
+func (a *Adoption) ObservePeer(startedAt time.Time, status ConfigStatus) {
 	a.known = max(a.known, status.Revision)
 	if status.ConfirmedAge >= 0 {
-		a.recordConfirmation(begun.Add(-status.ConfirmedAge), status.Revision)
+		a.recordConfirmation(startedAt.Add(-status.ConfirmedAge), status.Revision)
 	}
-	if status.TableDown && status.Revision > 0 && begun.After(a.outageReported) {
-		a.outageReported = begun
+	if status.TableDown && status.Revision > 0 && startedAt.After(a.outageReported) {
+		a.outageReported = startedAt
 	}
 }
 
--- a/fleet/adoption_flight_test.go
+++ b/fleet/adoption_flight_test.go
@@ -17,8 +17,8 @@
 type exchange struct {
 	caller *Adoption
 	// peer is the peer that is called, or nil for the table.
-	peer  *Adoption
-	begun time.Time
+	peer      *Adoption
+	startedAt time.Time
 	// status and revision are the answer, once there is one.
 	answered bool
 	status   ConfigStatus
@@ -29,13 +29,13 @@
 type exchangeSim struct {
 	now       time.Time
 	inForce   int64
-	forcedAt  map[int64]time.Time
+	inForceAt map[int64]time.Time
 	processes []*Adoption
 	exchanges []*exchange
 }
 
 func newExchangeSim(n int) *exchangeSim {
-	w := &exchangeSim{now: epoch, inForce: 1, forcedAt: map[int64]time.Time{1: epoch}, processes: make([]*Adoption, n)}
+	w := &exchangeSim{now: epoch, inForce: 1, inForceAt: map[int64]time.Time{1: epoch}, processes: make([]*Adoption, n)}
 	for i := range n {
 		w.restart(i)
 	}
@@ -49,47 +49,47 @@
 
 func (w *exchangeSim) apply() {
 	w.inForce++
-	w.forcedAt[w.inForce] = w.now
+	w.inForceAt[w.inForce] = w.now
 }
 
 // ask starts a call from a process to the table or to a peer.
 func (w *exchangeSim) ask(caller, peer *Adoption) *exchange {
-	f := &exchange{caller: caller, peer: peer, begun: w.now}
-	w.exchanges = append(w.exchanges, f)
-	return f
+	e := &exchange{caller: caller, peer: peer, startedAt: w.now}
+	w.exchanges = append(w.exchanges, e)
+	return e
 }
 
 // answer answers a call with the current state.
-func (w *exchangeSim) answer(f *exchange) {
+func (w *exchangeSim) answer(e *exchange) {
 	switch {
-	case f.answered:
-	case f.peer == nil:
-		f.revision = w.inForce
+	case e.answered:
+	case e.peer == nil:
+		e.revision = w.inForce
 	default:
-		f.status = f.peer.Status(w.now)
+		e.status = e.peer.Status(w.now)
 		// The called peer learns the caller's revision, but without a time to count a confirmation
 		// from.
-		f.peer.ObservePeer(time.Time{}, ConfigStatus{Revision: f.caller.Revision(), ConfirmedAge: -1})
+		e.peer.ObservePeer(time.Time{}, ConfigStatus{Revision: e.caller.Revision(), ConfirmedAge: -1})
 	}
-	f.answered = true
+	e.answered = true
 }
 
 // arrive processes an answer; answers to processes that have restarted are lost. The peer's newer
 // revision counts as fetched.
-func (w *exchangeSim) arrive(f *exchange) { w.process(f, true) }
+func (w *exchangeSim) arrive(e *exchange) { w.process(e, true) }
 
-func (w *exchangeSim) process(f *exchange, fetched bool) {
-	if !f.answered {
+func (w *exchangeSim) process(e *exchange, fetched bool) {
+	if !e.answered {
 		return
 	}
-	if f.peer == nil {
-		f.caller.Adopted(f.revision)
-		f.caller.Confirm(f.begun, f.caller.Revision())
+	if e.peer == nil {
+		e.caller.Adopted(e.revision)
+		e.caller.Confirm(e.startedAt, e.caller.Revision())
 		return
 	}
-	f.caller.ObservePeer(f.begun, f.status)
+	e.caller.ObservePeer(e.startedAt, e.status)
 	if fetched {
-		f.caller.Adopted(f.status.Revision)
+		e.caller.Adopted(e.status.Revision)
 	}
 }
 
@@ -98,7 +98,7 @@
 // more recent confirmation than that to others.
 func (w *exchangeSim) check() error {
 	for i, a := range w.processes {
-		next, replaced := w.forcedAt[a.Revision()+1]
+		next, replaced := w.inForceAt[a.Revision()+1]
 		if status := a.Status(w.now); replaced && status.ConfirmedAge >= 0 && w.now.Add(-status.ConfirmedAge).After(next) {
 			return fmt.Errorf("process %d reports that revision %d was the newest %s ago, but it was replaced %s ago", i, a.Revision(), status.ConfirmedAge, w.now.Sub(next))
 		}
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -26,7 +26,7 @@
 	accepted bool
 	conflict bool
 	revision int64
-	by       string
+	writeID  string
 }
 
 // applyModel is the sequential specification of Apply: the head moves from the base to the next
@@ -41,7 +41,7 @@
 		case out.accepted:
 			return len(owners) == next, append(owners[:len(owners):len(owners)], in.writeID)
 		case out.conflict:
-			return next < len(owners) && owners[next] == out.by, owners
+			return next < len(owners) && owners[next] == out.writeID, owners
 		}
 		// The outcome is unknown: the write may have taken effect or not, so the checker may assume
 		// either.
@@ -99,7 +99,7 @@
 	op := porcupine.Operation{ClientId: client, Input: applyCall{head.Revision, writeID}, Call: time.Now().UnixNano()}
 	stored, err := configs.Apply(ctx, head.Revision, Document{WriteID: writeID, Text: "x"})
 	op.Return = time.Now().UnixNano()
-	out := applyResult{revision: stored.Revision, by: stored.WriteID}
+	out := applyResult{revision: stored.Revision, writeID: stored.WriteID}
 	switch {
 	case err == nil:
 		out.accepted = true
@@ -158,14 +158,14 @@
 // adoptionSim simulates revisions and routers that learn of them late, freeze, or lose contact with
 // the table or with each other.
 type adoptionSim struct {
-	now      time.Time
-	inForce  int64
-	forcedAt map[int64]time.Time
-	tableOut bool
-	routers  []*Adoption
-	served   []int64
-	cutTable []bool
-	cutPeers []bool
+	now       time.Time
+	inForce   int64
+	inForceAt map[int64]time.Time
+	tableOut  bool
+	routers   []*Adoption
+	served    []int64
+	cutTable  []bool
+	cutPeers  []bool
 }
 
 const testValidity = 3 * time.Second
@@ -174,7 +174,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 3
 		w := &adoptionSim{
-			now: epoch, inForce: 1, forcedAt: map[int64]time.Time{1: epoch},
+			now: epoch, inForce: 1, inForceAt: map[int64]time.Time{1: epoch},
 			served: make([]int64, n), cutTable: make([]bool, n), cutPeers: make([]bool, n),
 		}
 		for range n {
@@ -185,7 +185,7 @@
 			"apply": func(*rapid.T) {
 				if !w.tableOut {
 					w.inForce++
-					w.forcedAt[w.inForce] = w.now
+					w.inForceAt[w.inForce] = w.now
 				}
 			},
 			"pass": func(rt *rapid.T) {
@@ -241,7 +241,7 @@
 		if !a.Serving(w.now) {
 			continue
 		}
-		next, superseded := w.forcedAt[a.Revision()+1]
+		next, superseded := w.inForceAt[a.Revision()+1]
 		late := superseded && w.now.Sub(next) > testValidity
 		if late && !a.tableDown {
 			return fmt.Errorf("router %d serves revision %d, superseded %s ago, and its table is up", i, a.Revision(), w.now.Sub(next))
@@ -252,11 +252,11 @@
 
 func TestAdoptionFrozenRouter(t *testing.T) {
 	cases := map[string]struct {
-		alone     bool
-		tableDown bool
-		peer      *ConfigStatus
-		passed    time.Duration
-		serving   bool
+		standalone bool
+		tableDown  bool
+		peer       *ConfigStatus
+		passed     time.Duration
+		serving    bool
 	}{
 		"fresh":                                       {passed: time.Second, serving: true},
 		"frozen past the validity":                    {passed: 4 * time.Second},
@@ -264,11 +264,11 @@
 		"table unavailable, peer reports it too":      {passed: 4 * time.Second, tableDown: true, peer: &ConfigStatus{Revision: 1, ConfirmedAge: time.Hour, TableDown: true}, serving: true},
 		"table unavailable here, peer is confirmed":   {passed: 4 * time.Second, tableDown: true, peer: &ConfigStatus{Revision: 1, ConfirmedAge: time.Second}, serving: true},
 		"peer has a newer revision":                   {passed: time.Second, peer: &ConfigStatus{Revision: 2}},
-		"configured without peers, table unavailable": {alone: true, passed: time.Hour, tableDown: true, serving: true},
+		"configured without peers, table unavailable": {standalone: true, passed: time.Hour, tableDown: true, serving: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := NewAdoption(testValidity, c.alone)
+			a := NewAdoption(testValidity, c.standalone)
 			a.Adopted(1)
 			a.Confirm(epoch, 1)
 			if c.tableDown {
--- a/fleet/lease_era_test.go
+++ b/fleet/lease_era_test.go
@@ -74,7 +74,7 @@
 func newEraSim(n int) *eraSim {
 	w := &eraSim{now: epoch, table: eraTable{era: 1}}
 	for i := range n {
-		w.leases = append(w.leases, NewLease("x", fmt.Sprintf("p%d", i), testLease, testGuard))
+		w.leases = append(w.leases, NewLease("x", fmt.Sprintf("p%d", i), testLeaseTTL, testTakeoverMargin))
 	}
 	return w
 }
@@ -187,7 +187,7 @@
 			},
 			"restart": func(rt *rapid.T) {
 				n := rapid.IntRange(0, len(w.leases)-1).Draw(rt, "process")
-				w.leases[n] = NewLease("x", fmt.Sprintf("p%d", n), testLease, testGuard)
+				w.leases[n] = NewLease("x", fmt.Sprintf("p%d", n), testLeaseTTL, testTakeoverMargin)
 			},
 			"go back": func(rt *rapid.T) { w.table.restoreCopy(rapid.IntRange(0, 6).Draw(rt, "writes")) },
 			"pass": func(rt *rapid.T) {
@@ -204,7 +204,7 @@
 func TestLeaseEraTwoHolders(t *testing.T) {
 	w := newEraSim(2)
 	a, b := w.leases[0], w.leases[1]
-	wait := testLease + testGuard + time.Millisecond
+	wait := testLeaseTTL + testTakeoverMargin + time.Millisecond
 	require.NoError(t, w.take(a))
 	w.now = w.now.Add(wait)
 	require.NoError(t, w.take(a))
--- a/fleet/lease_restart_test.go
+++ b/fleet/lease_restart_test.go
@@ -26,13 +26,13 @@
 // restart replaces a process by a new one with the same name and no state. Writes that the old one
 // sent may still be applied.
 func (w *leaseRestartSim) restart(p *leaseProcess) {
-	p.lease = NewLease("pool/x", p.lease.self, testLease, testGuard)
+	p.lease = NewLease("pool/x", p.lease.self, testLeaseTTL, testTakeoverMargin)
 	p.reply = nil
 	delete(w.frozen, p)
 }
 
 // check is the oracle: while one incarnation holds the lease, every other one, including those of
-// the same process, has stopped believing in its own lease for at least testGuard.
+// the same process, has stopped believing in its own lease for at least testTakeoverMargin.
 func (w *leaseRestartSim) check() error {
 	if err := w.leaseSim.check(); err != nil {
 		return err
@@ -45,7 +45,7 @@
 		if until.After(w.believed[p.lease]) {
 			w.believed[p.lease] = until
 		}
-		from := until.Add(-testLease)
+		from := until.Add(-testLeaseTTL)
 		for other, until := range w.believed {
 			if other == p.lease || other.fence > p.lease.fence {
 				continue
@@ -53,7 +53,7 @@
 			if other.fence == p.lease.fence {
 				return fmt.Errorf("two incarnations of %s and %s hold fence %d", other.self, p.lease.self, other.fence)
 			}
-			if from.Before(until.Add(testGuard)) {
+			if from.Before(until.Add(testTakeoverMargin)) {
 				return fmt.Errorf("%s holds with fence %d from %s, %s with fence %d until %s",
 					p.lease.self, p.lease.fence, from.Sub(epoch), other.self, other.fence, until.Sub(epoch))
 			}
@@ -145,7 +145,7 @@
 			}
 			w.take(t, p, true, true)
 			require.False(t, p.lease.Holds(w.clock(p)), "the previous incarnation's lease is not its own")
-			w.now = w.now.Add(testLease + testGuard)
+			w.now = w.now.Add(testLeaseTTL + testTakeoverMargin)
 			w.take(t, p, true, true)
 			require.False(t, p.lease.Holds(w.clock(p)), "the wait counts from the first read")
 			w.now = w.now.Add(time.Millisecond)
@@ -165,13 +165,13 @@
 	part, sort := b.lease.Key()
 	row, ok, err := w.rows.Get(t.Context(), part, sort)
 	require.NoError(t, err)
-	w.now = w.now.Add(testLease + testGuard + time.Second)
+	w.now = w.now.Add(testLeaseTTL + testTakeoverMargin + time.Second)
 	require.NoError(t, b.lease.HandleRead(w.clock(b), row, ok))
 	_, ok = b.lease.Next(w.clock(b), "x")
 	require.False(t, ok, "the row counts from when the process resumed")
 	// The holder renews in the meantime, so that the row that b read is outdated.
 	w.take(t, a, true, true)
-	w.now = w.now.Add(testLease + testGuard + time.Millisecond)
+	w.now = w.now.Add(testLeaseTTL + testTakeoverMargin + time.Millisecond)
 	w.write(b, true, true)
 	b.deliver()
 	require.False(t, b.lease.Holds(w.clock(b)), "the write is conditional on the row that was read")
--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -36,15 +36,15 @@
 }
 
 const (
-	testLease = 6 * time.Second
-	testGuard = 2 * time.Second
+	testLeaseTTL       = 6 * time.Second
+	testTakeoverMargin = 2 * time.Second
 )
 
 func newLeaseSim(n int) *leaseSim {
 	w := &leaseSim{now: epoch, rows: newFakeTable()}
 	for i := range n {
 		w.processes = append(w.processes, &leaseProcess{
-			lease:  NewLease("pool/x", fmt.Sprintf("p%d", i), testLease, testGuard),
+			lease:  NewLease("pool/x", fmt.Sprintf("p%d", i), testLeaseTTL, testTakeoverMargin),
 			offset: time.Duration(i) * time.Hour,
 		})
 	}
@@ -187,7 +187,7 @@
 	w.take(t, b, true, true)
 	require.False(t, b.lease.Holds(w.clock(b)), "another process's lease is not taken while it lasts")
 
-	w.now = w.now.Add(testLease + testGuard - time.Millisecond)
+	w.now = w.now.Add(testLeaseTTL + testTakeoverMargin - time.Millisecond)
 	require.False(t, a.lease.Holds(w.clock(a)), "a paused holder stops holding when its lease expires")
 	w.take(t, b, true, true)
 	require.False(t, b.lease.Holds(w.clock(b)), "the takeover margin is waited out too")
@@ -208,7 +208,7 @@
 	require.False(t, p.lease.Holds(w.clock(p)), "a write without a reply does not count")
 	require.NoError(t, w.read(p))
 	require.True(t, p.lease.Holds(w.clock(p)), "reading the row back settles it")
-	require.False(t, p.lease.HoldsFor(w.clock(p), testLease), "the lease counts from before the write")
+	require.False(t, p.lease.HoldsFor(w.clock(p), testLeaseTTL), "the lease counts from before the write")
 }
 
 // A delayed write must not be mistaken for a later write of the same process. Otherwise that
@@ -223,7 +223,7 @@
 	require.NoError(t, w.read(a), "as far as a can see, the write was not applied")
 	w.doLate(0)
 	require.NoError(t, w.read(b))
-	w.now = w.now.Add(testLease + testGuard + time.Second)
+	w.now = w.now.Add(testLeaseTTL + testTakeoverMargin + time.Second)
 	w.write(a, true, false)
 	a.deliver()
 	require.NoError(t, w.read(a))
@@ -244,7 +244,7 @@
 	require.NoError(t, w.read(second))
 	require.JSONEq(t, `"one"`, string(second.lease.Note()))
 
-	w.now = w.now.Add(testLease + testGuard + time.Second)
+	w.now = w.now.Add(testLeaseTTL + testTakeoverMargin + time.Second)
 	second.lease.SetNote([]byte(`"two"`))
 	w.take(t, second, true, false)
 	require.NoError(t, w.read(second))
--- a/fleet/lease_unread_test.go
+++ b/fleet/lease_unread_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := epoch
-			holder, other := NewLease("pool/x", "a", testLease, testGuard), NewLease("pool/x", "b", testLease, testGuard)
+			holder, other := NewLease("pool/x", "a", testLeaseTTL, testTakeoverMargin), NewLease("pool/x", "b", testLeaseTTL, testTakeoverMargin)
 			good := Row{Data: []byte(`{"holder":"a","fence":6,"beat":1,"freed":true,"lengthNs":300000000}`), Rev: fence}
 			require.NoError(t, holder.HandleRead(now, good, true))
 			_, ok := holder.Next(now, "t1")
@@ -45,7 +45,7 @@
 				_, ok := l.Next(now, "t2")
 				require.False(t, ok, "it may still be held")
 			}
-			now = now.Add(testLease + testGuard + time.Millisecond)
+			now = now.Add(testLeaseTTL + testTakeoverMargin + time.Millisecond)
 			_, ok = other.Next(now, "t3")
 			require.True(t, ok)
 			other.HandleWrite(now, fence+3, nil)
--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -63,15 +63,15 @@
 // violated.
 func (w *fleetSim) round() error {
 	w.now = w.now.Add(500 * time.Millisecond)
-	var seen []Engine
+	var engines []Engine
 	for _, e := range w.engines {
 		if e.Loading && !w.now.Before(e.loadEnds) {
 			e.Loading = false
 			e.Weights["m"] = e.loadTo
 		}
-		seen = append(seen, e.Engine)
+		engines = append(engines, e.Engine)
 	}
-	steps := w.planner.Plan(w.now, w.snap, seen)
+	steps := w.planner.Plan(w.now, w.snap, engines)
 	for _, s := range steps.Orders {
 		if err := w.order(s); err != nil {
 			return err
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -84,12 +84,12 @@
 	for _, to := range r.Next(w.now) {
 		w.call(r, to, message)
 	}
-	known := make(map[string]bool)
+	knownMembers := make(map[string]bool)
 	for _, m := range r.Members(w.now) {
-		known[m.ID] = true
+		knownMembers[m.ID] = true
 	}
 	for _, s := range w.seeds {
-		if !known[s.ID] {
+		if !knownMembers[s.ID] {
 			w.call(r, s, message)
 		}
 	}
@@ -220,9 +220,9 @@
 	for _, m := range r.Relays(now) {
 		require.NotContains(t, relays, m)
 	}
-	brief := r.RelayMessage(now)
-	require.Equal(t, r.Relays(now), brief.Relays)
-	require.Empty(t, brief.Members)
+	message := r.RelayMessage(now)
+	require.Equal(t, r.Relays(now), message.Relays)
+	require.Empty(t, message.Members)
 }
 
 // TestRendezvousOwner checks that numbers are spread evenly over the members, that the loss of a
--- a/fleet/roll.go
+++ b/fleet/roll.go
@@ -49,8 +49,8 @@
 	// HoldTime is how long a target receives no new requests before its first order. It covers the
 	// time until all routers have learned of the hold.
 	HoldTime time.Duration
-	// AnswerTimeout is how long the answer to an order is waited for. A target that has not
-	// answered by then is not known to be loading: it keeps serving, and other targets are ordered.
+	// AnswerTimeout is how long to wait for the answer to an order. A target that has not answered
+	// by then is not known to be loading: it keeps serving, and other targets are ordered.
 	AnswerTimeout time.Duration
 	// OrderInterval is the time between two orders to a target that has accepted neither.
 	OrderInterval time.Duration
--- a/fleet/roll_fuzz_test.go
+++ b/fleet/roll_fuzz_test.go
@@ -112,7 +112,7 @@
 	steps := w.update.Next(w.now, map[string]string{"m": strconv.Itoa(w.newest)}, targets, shorter)
 	// Targets that left the list do not end the changes of other targets. A delayed load that has
 	// started is held even beyond the limit, but then no further orders are sent.
-	atOnce, loading, held := w.update.settings.maxConcurrent(len(w.engines)), 0, 0
+	limit, loading, held := w.update.settings.maxConcurrent(len(w.engines)), 0, 0
 	for _, t := range targets {
 		if t.Busy && shorter(t.Weights, strconv.Itoa(w.newest)) {
 			loading++
@@ -123,9 +123,9 @@
 			held++
 		}
 	}
-	require.LessOrEqual(w.t, held, atOnce)
+	require.LessOrEqual(w.t, held, limit)
 	if len(steps.Orders) > 0 {
-		require.LessOrEqual(w.t, loading+len(steps.Orders), atOnce)
+		require.LessOrEqual(w.t, loading+len(steps.Orders), limit)
 	}
 	for _, t := range steps.Polls {
 		if e := w.engine(t); strconv.Itoa(e.incarnation) == string(t.Incarnation) {
--- a/fleet/roll_late_test.go
+++ b/fleet/roll_late_test.go
@@ -25,37 +25,37 @@
 	lateBound = 10 * time.Second
 )
 
-// lateEngineState is the state of a target at a given time.
-type lateEngineState struct {
+// lateTargetState is the state of a target at a given time.
+type lateTargetState struct {
 	at      time.Time
 	weights int
 	orders  int64
 	busy    bool
 }
 
-// lateEngine is a target that carries out some orders late and never answers those.
-type lateEngine struct {
+// lateTarget is a target that carries out some orders late and never answers those.
+type lateTarget struct {
 	addr    netip.AddrPort
 	weights int
 	orders  int64
 	loading int
-	// left is the remaining work of the load.
+	// remaining is the remaining work of the load.
 	remaining time.Duration
-	history   []lateEngineState
+	history   []lateTargetState
 	// seen is the last report that the holder read; answered is true if the target has accepted an
 	// order since.
-	seen     *lateEngineState
+	seen     *lateTargetState
 	answered bool
 }
 
 // at returns the target's state at an earlier time.
-func (e *lateEngine) at(then time.Time) lateEngineState {
+func (e *lateTarget) at(then time.Time) lateTargetState {
 	out := e.history[0]
-	for _, w := range e.history {
-		if w.at.After(then) {
+	for _, state := range e.history {
+		if state.at.After(then) {
 			break
 		}
-		out = w
+		out = state
 	}
 	return out
 }
@@ -66,9 +66,9 @@
 	rand     *rand.Rand
 	fraction float64
 	update   *RollingUpdate
-	engines  []*lateEngine
+	engines  []*lateTarget
 	namedAt  []time.Time
-	late     []lateOrder
+	late     []delayedOrder
 
 	// Results: the number of orders, the maximum number of concurrent loads, and how long targets
 	// spent on replaced weights and on weights that may no longer serve.
@@ -76,8 +76,8 @@
 	old, unusable    time.Duration
 }
 
-type lateOrder struct {
-	to      *lateEngine
+type delayedOrder struct {
+	to      *lateTarget
 	orders  int64
 	weights int
 	at      time.Time
@@ -88,7 +88,7 @@
 		now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, seed)), fraction: fraction, update: NewRollingUpdate(DefaultUpdateSettings()),
 	}
 	for i := range n {
-		p.engines = append(p.engines, &lateEngine{
+		p.engines = append(p.engines, &lateTarget{
 			addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), weights: 1,
 		})
 	}
@@ -98,7 +98,7 @@
 
 // settle carries out the orders that are due and advances the loads.
 func (p *latePool) settle() {
-	var still []lateOrder
+	var still []delayedOrder
 	for _, o := range p.late {
 		if o.at.After(p.now) {
 			still = append(still, o)
@@ -114,15 +114,15 @@
 		}
 	}
 	p.maxLoads = max(p.maxLoads, loading)
-	atOnce := p.update.settings.maxConcurrent(len(p.engines))
+	limit := p.update.settings.maxConcurrent(len(p.engines))
 	for _, e := range p.engines {
 		if e.loading > 0 {
-			e.remaining -= lateStep * time.Duration(atOnce) / time.Duration(max(loading, atOnce))
+			e.remaining -= lateStep * time.Duration(limit) / time.Duration(max(loading, limit))
 			if e.remaining <= 0 {
 				e.weights, e.loading = e.loading, 0
 			}
 		}
-		e.history = append(e.history, lateEngineState{p.now, e.weights, e.orders, e.loading > 0})
+		e.history = append(e.history, lateTargetState{p.now, e.weights, e.orders, e.loading > 0})
 		if e.weights < len(p.namedAt) {
 			p.old += lateStep
 			if p.now.Sub(p.namedAt[e.weights]) > lateBound {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (p *latePool) carryOut(o lateOrder) bool {
+func (p *latePool) carryOut(o delayedOrder) bool {
 	if o.to.orders != o.orders || o.to.loading > 0 || o.to.weights == o.weights {
 		return false
 	}
@@ -161,7 +161,7 @@
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(lateStep) {
 		p.settle()
 		steps := p.update.Next(p.now, map[string]string{"m": strconv.Itoa(len(p.namedAt))}, p.targets(), shorter)
-		byAddr := func(a UpdateTarget) *lateEngine { return p.engines[a.Addr.Addr().As4()[3]] }
+		byAddr := func(a UpdateTarget) *lateTarget { return p.engines[a.Addr.Addr().As4()[3]] }
 		for _, l := range steps.Polls {
 			e := byAddr(l)
 			was := e.at(p.now.Add(-lateReport))
@@ -171,7 +171,7 @@
 			p.orders++
 			weights, err := strconv.Atoi(o.Weights)
 			require.NoError(t, err)
-			sent := lateOrder{to: byAddr(o.Target), orders: o.Target.Orders, weights: weights, at: p.now}
+			sent := delayedOrder{to: byAddr(o.Target), orders: o.Target.Orders, weights: weights, at: p.now}
 			if p.rand.Float64() < p.fraction {
 				sent.at = p.now.Add(2*time.Second + time.Duration(p.rand.Int64N(int64(10*time.Second))))
 				p.late = append(p.late, sent)
@@ -214,7 +214,7 @@
 // With prompt orders, the whole pool reaches the newest weights well within the limit, and no more
 // targets load concurrently than allowed.
 func TestRollInTime(t *testing.T) {
-	for n, atOnce := range map[int]int{9: 2, 117: 23, 140: 28} {
+	for n, limit := range map[int]int{9: 2, 117: 23, 140: 28} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			p := newLatePool(1, n, 0)
 			p.namedAt = append(p.namedAt, p.now)
@@ -223,7 +223,7 @@
 				require.Equal(t, 2, e.weights, "%s", e.addr)
 			}
 			t.Logf("%d targets: %v on old weights, %d orders", n, p.old, p.orders)
-			require.LessOrEqual(t, p.maxLoads, atOnce)
+			require.LessOrEqual(t, p.maxLoads, limit)
 			require.Equal(t, n, p.orders)
 		})
 	}
--- a/fleet/roll_test.go
+++ b/fleet/roll_test.go
@@ -12,7 +12,7 @@
 // shorter orders numbered weights as route.OlderWeights does.
 func shorter(a, b string) bool { return len(a) < len(b) || len(a) == len(b) && a < b }
 
-func rollTarget(n byte, weights string, load int) UpdateTarget {
+func newUpdateTarget(n byte, weights string, load int) UpdateTarget {
 	return UpdateTarget{
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80), Incarnation: "i",
 		Model: "m", Weights: weights, Load: load,
@@ -22,7 +22,7 @@
 // A busy target with the oldest weights is not passed over when newer weights are named.
 func TestRollOldestFirst(t *testing.T) {
 	r := NewRollingUpdate(DefaultUpdateSettings())
-	targets := []UpdateTarget{rollTarget(1, "2", 0), rollTarget(2, "2", 0), rollTarget(3, "1", 50)}
+	targets := []UpdateTarget{newUpdateTarget(1, "2", 0), newUpdateTarget(2, "2", 0), newUpdateTarget(3, "1", 50)}
 	steps := r.Next(time.Unix(100, 0), map[string]string{"m": "3"}, targets, shorter)
 	require.Len(t, steps.Holds, 1)
 	require.Equal(t, targets[2].Addr, steps.Holds[0].Addr)
@@ -34,7 +34,7 @@
 	s := DefaultUpdateSettings()
 	r := NewRollingUpdate(s)
 	now := time.Unix(100, 0)
-	target := rollTarget(1, "1", 0)
+	target := newUpdateTarget(1, "1", 0)
 	target.Orders = OrdersUnknown
 	next := func() UpdateSteps {
 		return r.Next(now, map[string]string{"m": "2"}, []UpdateTarget{target}, shorter)
@@ -65,10 +65,10 @@
 func TestRollAtOnce(t *testing.T) {
 	for n, want := range map[int]int{3: 2, 9: 2, 90: 18, 140: 28} {
 		s := DefaultUpdateSettings()
-		next := rollAt(NewRollingUpdate(s))
+		next := newRounds(NewRollingUpdate(s))
 		var targets []UpdateTarget
 		for i := range n {
-			targets = append(targets, rollTarget(byte(i), "1", 0))
+			targets = append(targets, newUpdateTarget(byte(i), "1", 0))
 		}
 		steps := next(0, targets)
 		require.Len(t, steps.Holds, want/2)
@@ -81,9 +81,9 @@
 	}
 }
 
-// rollAt returns a function that runs a round at a time after the start, with "2" as the newest
+// newRounds returns a function that runs a round at a time after the start, with "2" as the newest
 // weights unless others are given.
-func rollAt(r *RollingUpdate) func(after time.Duration, targets []UpdateTarget, weights ...string) UpdateSteps {
+func newRounds(r *RollingUpdate) func(after time.Duration, targets []UpdateTarget, weights ...string) UpdateSteps {
 	return func(after time.Duration, targets []UpdateTarget, weights ...string) UpdateSteps {
 		named := append(weights, "2")[0]
 		return r.Next(time.Unix(100, 0).Add(after), map[string]string{"m": named}, targets, shorter)
@@ -95,8 +95,8 @@
 func TestRollUnanswered(t *testing.T) {
 	s := DefaultUpdateSettings()
 	s.MaxConcurrent, s.MaxConcurrentFraction = 1, 0
-	next := rollAt(NewRollingUpdate(s))
-	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0)}
+	next := newRounds(NewRollingUpdate(s))
+	targets := []UpdateTarget{newUpdateTarget(1, "1", 0), newUpdateTarget(2, "1", 0)}
 	next(0, targets)
 	sent := next(s.HoldTime, targets)
 	require.Len(t, sent.Orders, 1)
@@ -116,8 +116,8 @@
 // addition.
 func TestRollCountsLoads(t *testing.T) {
 	s := DefaultUpdateSettings()
-	next := rollAt(NewRollingUpdate(s))
-	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0), rollTarget(3, "1", 0)}
+	next := newRounds(NewRollingUpdate(s))
+	targets := []UpdateTarget{newUpdateTarget(1, "1", 0), newUpdateTarget(2, "1", 0), newUpdateTarget(3, "1", 0)}
 	targets[0].Busy, targets[1].Busy = true, true
 	require.Len(t, next(0, targets).Holds, 2)
 	steps := next(s.HoldTime, targets)
@@ -131,8 +131,8 @@
 // A target that was about to be ordered waits if delayed orders have taken the slots.
 func TestRollLateFillsPlaces(t *testing.T) {
 	s := DefaultUpdateSettings()
-	next := rollAt(NewRollingUpdate(s))
-	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0), rollTarget(3, "1", 0)}
+	next := newRounds(NewRollingUpdate(s))
+	targets := []UpdateTarget{newUpdateTarget(1, "1", 0), newUpdateTarget(2, "1", 0), newUpdateTarget(3, "1", 0)}
 	require.Len(t, next(0, targets).Holds, 1)
 	targets[1].Busy, targets[2].Busy = true, true
 	steps := next(s.HoldTime, targets)
@@ -144,8 +144,8 @@
 func TestRollGivesUp(t *testing.T) {
 	s := DefaultUpdateSettings()
 	s.MaxConcurrent, s.MaxConcurrentFraction = 1, 0
-	next := rollAt(NewRollingUpdate(s))
-	targets := []UpdateTarget{rollTarget(1, "1", 0), rollTarget(2, "1", 0)}
+	next := newRounds(NewRollingUpdate(s))
+	targets := []UpdateTarget{newUpdateTarget(1, "1", 0), newUpdateTarget(2, "1", 0)}
 	targets[0].Busy = true
 	require.Equal(t, targets[0].Addr, next(0, targets).Holds[0].Addr)
 	steps := next(s.LoadTimeout+time.Millisecond, targets)
@@ -161,10 +161,10 @@
 func TestRollUnreadable(t *testing.T) {
 	s := DefaultUpdateSettings()
 	for unreadable, want := range map[int]int{0: 4, 1: 3, 2: 2, 5: 2} {
-		next := rollAt(NewRollingUpdate(s))
+		next := newRounds(NewRollingUpdate(s))
 		var targets []UpdateTarget
 		for i := range 20 {
-			target := rollTarget(byte(i), "1", 0)
+			target := newUpdateTarget(byte(i), "1", 0)
 			target.Orders = OrdersUnknown
 			targets = append(targets, target)
 		}
@@ -184,8 +184,8 @@
 		require.Equal(t, want, maxHeld, "%d unreadable", unreadable)
 	}
 	// A target that becomes unreadable after it was selected is not ordered without its count.
-	next := rollAt(NewRollingUpdate(s))
-	target := rollTarget(1, "1", 0)
+	next := newRounds(NewRollingUpdate(s))
+	target := newUpdateTarget(1, "1", 0)
 	require.Len(t, next(0, []UpdateTarget{target}).Holds, 1)
 	target.Orders = OrdersUnknown
 	require.Empty(t, next(s.HoldTime, []UpdateTarget{target}).Orders)
@@ -196,7 +196,7 @@
 func TestRollTwoModels(t *testing.T) {
 	s := DefaultUpdateSettings()
 	r := NewRollingUpdate(s)
-	old, other := rollTarget(1, "1", 0), rollTarget(1, "7", 0)
+	old, other := newUpdateTarget(1, "1", 0), newUpdateTarget(1, "7", 0)
 	other.Model = "n"
 	for _, targets := range [][]UpdateTarget{{old, other}, {other, old}} {
 		r.Reset()
@@ -215,7 +215,7 @@
 	s := DefaultUpdateSettings()
 	r := NewRollingUpdate(s)
 	now := time.Unix(100, 0)
-	target := rollTarget(1, "3", 0)
+	target := newUpdateTarget(1, "3", 0)
 	target.Orders = 1
 	next := func() UpdateSteps {
 		now = now.Add(s.LoadingPollInterval)
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -77,9 +77,9 @@
 	return append([]Entry[P]{v.self}, live[:min(len(live), relay)]...)
 }
 
-// Merge records a message and returns the ids of peers that were not live before. If an entry of
-// this process has a higher epoch than its own, the clock was set back before this process started;
-// it then raises its own epoch above that one.
+// Merge records a message and returns the ids of peers that were not live before. A received entry
+// with this process's own id and a higher epoch means that the clock was set back before this
+// process started; the process then raises its own epoch above it.
 func (v *View[P]) Merge(now time.Time, entries []Entry[P]) (joined []string) {
 	for _, e := range entries {
 		if e.ID == v.self.ID {
