--- a/route/arrive.go
+++ b/route/arrive.go
@@ -9,21 +9,23 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// The bounds of waiting and of choosing who goes next.
+// Constants of queueing and of selecting the next request.
 const (
 	throughputWindow = 2 * time.Second
-	// headsPerOrg is how many of an organisation's first requests, and maxScan how
-	// many of a pool's, are tried for a target with room.
+	// headsPerOrg is the number of requests at the head of each organisation's queue, and
+	// maxScan the number per pool, that are tried for a target with capacity.
 	headsPerOrg = 4
 	maxScan     = 24
-	// spillFactor was measured: 1 spread too early and computed more, see docs/design/queueing.md.
+	// spillFactor bounds the wait for the best target as a multiple of the extra cost of the
+	// next one. A factor of 1 spread prefixes too early and increased the recomputed prefill;
+	// see docs/design/queueing.md.
 	spillFactor = 3
-	// decodeCost is what one generated token costs in prefill tokens.
+	// decodeCost is the cost of a generated token in prefill tokens.
 	decodeCost = 4
 	minCost    = 64
 )
 
-// Arrive takes a new request: it is sent, queued or refused at once.
+// Arrive accepts a new request, which is sent, queued or refused immediately.
 func (b *Board) Arrive(now time.Time, req Request) []Action {
 	r := &request{Request: req, arrived: now, tried: make(map[netip.AddrPort]bool), index: -1, sample: b.rng.Float64()}
 	if refusal := b.admit(now, r); refusal != nil {
@@ -48,7 +50,7 @@
 	return out
 }
 
-// admit checks everything that can refuse a request before it waits.
+// admit returns a refusal if the request must not be queued.
 func (b *Board) admit(now time.Time, r *request) *Refusal {
 	if b.closed != nil {
 		return b.closed
@@ -57,7 +59,7 @@
 		return &Refusal{Cause: CauseFenced, RetryAfter: b.minRetryAfter, Detail: "no configuration is known yet"}
 	}
 	if r.Revision != b.snap.Revision {
-		return &Refusal{Cause: CauseChanged, RetryAfter: b.minRetryAfter, Detail: "the configuration changed while the request was checked"}
+		return &Refusal{Cause: CauseChanged, RetryAfter: b.minRetryAfter, Detail: "the configuration changed while the request was validated"}
 	}
 	p, ok := b.pools[r.Pool]
 	if !ok {
@@ -66,8 +68,8 @@
 	if held := b.heldRefusal(now, r); held != nil {
 		return held
 	}
-	if rests := b.backoffRefusal(now, p, r); rests != nil {
-		return rests
+	if backoff := b.backoffRefusal(now, p, r); backoff != nil {
+		return backoff
 	}
 	wait := p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now))
 	if limit := b.maxQueueTime(r); wait > limit {
@@ -79,7 +81,7 @@
 	return b.admitOrg(now, r)
 }
 
-// cost is what a request takes of a pool, in prefill tokens.
+// cost returns the share of the pool's capacity that the request uses, in prefill tokens.
 func (b *Board) cost(r *request) float64 {
 	return float64(max(minCost, r.promptTokens()+decodeCost*r.MaxTokens))
 }
@@ -87,14 +89,14 @@
 func (b *Board) enqueue(now time.Time, r *request) {
 	p := b.pools[r.Pool]
 	if p.queue.n == 0 {
-		// What was sent before says nothing of how soon there will be room now.
+		// Throughput before this moment does not predict when capacity becomes free.
 		p.throughput = newMeter(throughputWindow)
 		p.throughput.at, p.throughput.begun = now, now
 	}
 	p.queue.push(r, b.weight(r.Org))
 }
 
-// dispatch sends waiting requests while targets have room.
+// dispatch sends queued requests while targets have capacity.
 func (b *Board) dispatch(now time.Time) []Action {
 	if b.snap == nil {
 		return nil
@@ -112,18 +114,18 @@
 	return out
 }
 
-// sendNext sends one waiting request. The first in fair order whose best target
-// has room goes at once. Else one may go to a worse target, if it has waited for
-// spillFactor times what that costs more: so a hot prefix spreads to further
-// targets only when waiting for its own has become dear.
+// sendNext sends one queued request. The first request in fair order whose best target has
+// capacity is sent immediately. Otherwise a request may be sent to a worse target once it has
+// waited for spillFactor times the extra cost, so a hot prefix spreads to more targets only
+// when waiting for its own target costs more.
 func (b *Board) sendNext(now time.Time, p *pool) (Send, bool) {
 	var (
 		spill *request
-		// chosen is the spilling request's candidate: among a few of a large pool,
-		// another choice may find none with room.
-		chosen candidate
-		least  = time.Duration(math.MaxInt64)
-		seen   int
+		// chosen is a copy of the candidate of the spilling request. Choosing again in a large
+		// pool samples other members, none of which may have capacity.
+		chosen         candidate
+		leastRemaining = time.Duration(math.MaxInt64)
+		seen           int
 	)
 	for _, o := range p.queue.next() {
 		for _, r := range o.items[:min(headsPerOrg, len(o.items))] {
@@ -146,19 +148,20 @@
 			if extra <= tieWidth || b.disabled.Has(AwaitBest) {
 				return b.send(now, p, r, c), true
 			}
-			if short := b.spillDelay(r, c, extra) - now.Sub(r.arrived); short < least {
-				spill, chosen, least = r, *c, short
+			if remaining := b.spillDelay(r, c, extra) - now.Sub(r.arrived); remaining < leastRemaining {
+				spill, chosen, leastRemaining = r, *c, remaining
 			}
 		}
 	}
-	if spill == nil || least > 0 {
+	if spill == nil || leastRemaining > 0 {
 		return Send{}, false
 	}
 	return b.send(now, p, spill, &chosen), true
 }
 
-// spillDelay is how long after its arrival a request goes to a target that costs more
-// than its best by extra, at the latest so that its answer can still begin in time.
+// spillDelay returns how long after its arrival a request is sent to a target that costs extra
+// more than its best one. With a stated aim this is early enough for the answer to begin in
+// time.
 func (b *Board) spillDelay(r *request, c *candidate, extra time.Duration) time.Duration {
 	if r.Aim == 0 {
 		return min(spillFactor*extra, r.QueueTime/2)
@@ -166,7 +169,7 @@
 	return min(extra, r.Aim-c.timeToFirstToken(r))
 }
 
-// send makes an attempt of a waiting request at the chosen target.
+// send creates an attempt of a queued request at the chosen target.
 func (b *Board) send(now time.Time, p *pool, r *request, c *candidate) Send {
 	p.queue.remove(r)
 	p.queue.charge(r, b.weight(r.Org))
@@ -211,8 +214,8 @@
 	return Send{Attempt: a.Attempt}
 }
 
-// recordExpectedFill believes at once what the target will have prefilled, so that
-// requests with the same cold prefix follow the first instead of filling another cache.
+// recordExpectedFill records immediately what the target will have cached, so that requests
+// with the same uncached prefix are sent there instead of filling another cache.
 func (b *Board) recordExpectedFill(now time.Time, c *candidate) {
 	if len(c.chain.messageEnds) < 2 {
 		b.prefixes.countRequest(c.chain)
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -7,13 +7,14 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// The bounds of trying again.
+// Constants of retrying.
 const (
 	maxTries     = 5
 	firstBackoff = 20 * time.Millisecond
 )
 
-// FirstToken notes that an attempt's prefill is over, which makes room for the next.
+// FirstToken records that the prefill of an attempt is complete, which frees capacity at its
+// target.
 func (b *Board) FirstToken(now time.Time, requestID, attemptID string) []Action {
 	r, a := b.current(requestID, attemptID)
 	if a == nil || a.firstToken {
@@ -36,7 +37,7 @@
 	return b.dispatch(now)
 }
 
-// recordFills keeps the ends of the prompt's messages for the peers.
+// recordFills stores the message ends of the prompt for the next report to peers.
 func (b *Board) recordFills(now time.Time, r *request, a *attempt) {
 	c := r.chain(a.Weights)
 	for i, n := range c.messageEnds {
@@ -50,7 +51,8 @@
 	}
 }
 
-// Progress notes that an attempt's answer goes on, and whether part of it reached the caller.
+// Progress records that an attempt's answer is progressing, and that a part of it reached the
+// caller.
 func (b *Board) Progress(now time.Time, requestID, attemptID string) {
 	r, a := b.current(requestID, attemptID)
 	if a == nil {
@@ -70,7 +72,7 @@
 	return r, r.attempt
 }
 
-// Ended takes the end of an attempt and decides what becomes of its request.
+// Ended records the end of an attempt and then finishes, retries or refuses its request.
 func (b *Board) Ended(now time.Time, o Outcome) []Action {
 	r, a := b.current(o.Request, o.Attempt)
 	if a == nil {
@@ -115,7 +117,7 @@
 	return fmt.Sprintf("%d of %d prompt tokens cached, %d generated", u.Cached, u.Prompt, u.Completion)
 }
 
-// detachAttempt takes an attempt off its target.
+// detachAttempt removes an attempt from its target.
 func (b *Board) detachAttempt(now time.Time, r *request, a *attempt) {
 	t := a.target
 	delete(t.attempts, a.ID)
@@ -124,12 +126,13 @@
 	if !a.firstToken {
 		t.prefill -= a.uncached
 	}
-	held := now.Sub(a.sent)
-	t.service += (held - t.service) / 8
+	duration := now.Sub(a.sent)
+	t.service += (duration - t.service) / 8
 	r.attempt = nil
 }
 
-// learnFromUsage corrects beliefs by the engine's own count of cached tokens.
+// learnFromUsage adjusts the target's eviction horizon to the number of cached tokens that the
+// engine reports.
 func (b *Board) learnFromUsage(now time.Time, r *request, a *attempt, u *Usage) {
 	b.recordRecovery(a.target)
 	if u == nil || a.Salt == "" || a.Resume {
@@ -145,7 +148,7 @@
 	a.target.horizon.miss(a.heldAge)
 }
 
-// verdictOf says what an attempt's end means for whether its request ran.
+// verdictOf returns what the outcome of an attempt implies about whether the request ran.
 func (b *Board) verdictOf(r *request, k OutcomeKind) Verdict {
 	switch k {
 	case OutcomeUnsent:
@@ -163,7 +166,8 @@
 	panic("route: unknown outcome")
 }
 
-// recordFailure counts a failure against the target and drops what was believed of it.
+// recordFailure counts a failure against the target and removes the request's prefix from the
+// target's assumed cache contents.
 func (b *Board) recordFailure(now time.Time, a *attempt, o Outcome) {
 	code := event.AttemptBroken
 	if o.Kind == OutcomeRefused || o.Kind == OutcomeUnsent {
@@ -196,14 +200,15 @@
 	}
 }
 
-// retryOrRefuse sends a failed request once more, or refuses it where that is not allowed.
+// retryOrRefuse queues a failed request for another attempt, or refuses it if it must not be
+// retried.
 func (b *Board) retryOrRefuse(now time.Time, r *request, a *attempt, o Outcome) []Action {
 	r.tried[a.Target] = true
 	switch {
 	case !r.Repeatable && r.verdict != NotRun:
 		return b.refuse(now, r, CauseBroken, "the call may not be repeated; "+o.Detail)
 	case r.delivered && !r.Resumable:
-		return b.refuse(now, r, CauseBroken, "part of the answer was delivered and it cannot be resumed; "+o.Detail)
+		return b.refuse(now, r, CauseBroken, "part of the answer was delivered and the answer cannot be resumed; "+o.Detail)
 	case b.crashes.holds(now, r.Print):
 		return b.refuse(now, r, CauseCrashes, b.heldRefusal(now, r).Detail)
 	case !now.Before(r.Deadline):
@@ -224,8 +229,9 @@
 	return nil
 }
 
-// countedTries counts the targets that the request was sent to. With a bound of its own,
-// an attempt of which no byte left is none, up to the board's bound on tries.
+// countedTries returns the number of attempts that count towards the request's limit. If the
+// request states a limit, attempts of which no byte was sent do not count, until maxTries is
+// reached.
 func (r *request) countedTries(o Outcome) int {
 	if o.Kind == OutcomeUnsent {
 		r.unsent++
@@ -236,7 +242,7 @@
 	return r.tries - r.unsent
 }
 
-// maxAllowedTries is how many targets the request may be sent to.
+// maxAllowedTries returns the number of attempts that the request may make.
 func (r *request) maxAllowedTries() int {
 	if r.MaxTries > 0 {
 		return r.MaxTries
@@ -244,8 +250,8 @@
 	return maxTries
 }
 
-// backoff holds a retry back: not at all the first time, since another target
-// takes it, then for a doubled and jittered time.
+// backoff returns the delay before the next attempt. The first retry is immediate, since it
+// goes to another target; further delays double and have jitter.
 func (b *Board) backoff(r *request) time.Duration {
 	if r.tries < 2 {
 		return 0
@@ -254,7 +260,7 @@
 	return d/2 + time.Duration(b.rng.Int64N(int64(d)))
 }
 
-// refuse gives a request its final answer at once.
+// refuse ends a request with a refusal.
 func (b *Board) refuse(now time.Time, r *request, cause Cause, detail string) []Action {
 	if r.index >= 0 {
 		b.pools[r.Pool].queue.remove(r)
@@ -274,7 +280,7 @@
 	}}}
 }
 
-// retryAfter works out from the queue when a repeat would be served.
+// retryAfter estimates from the queue when the request could be served.
 func (b *Board) retryAfter(now time.Time, r *request) time.Duration {
 	if held := b.heldRefusal(now, r); held != nil {
 		return held.RetryAfter
@@ -286,14 +292,15 @@
 	return max(b.minRetryAfter, b.backoffRemaining(now, p), p.queue.wait(r.Org, b.weight(r.Org), p.throughput.rate(now)))
 }
 
-// refundUnrun gives back the charge of a request that ends without having run anywhere.
+// refundUnrun refunds the charge of a request that ends without having run.
 func (b *Board) refundUnrun(now time.Time, r *request) {
 	if r.verdict == NotRun && r.attempt == nil && !r.delivered {
 		b.RefundCharge(now, r.Charge)
 	}
 }
 
-// removeRequest takes a request off the board and gives its place in the limits back.
+// removeRequest removes a request and releases its slot in the organisation's limit of
+// concurrent requests.
 func (b *Board) removeRequest(r *request) {
 	delete(b.requests, r.ID)
 	if o, ok := b.orgs[r.Org]; ok && o.inFlight > 0 {
@@ -301,7 +308,7 @@
 	}
 }
 
-// CallerGone takes the news that a caller left.
+// CallerGone ends a request whose caller disconnected.
 func (b *Board) CallerGone(now time.Time, requestID string) []Action {
 	r, ok := b.requests[requestID]
 	if !ok {
--- a/route/board.go
+++ b/route/board.go
@@ -11,8 +11,9 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// Board is the blackboard of one router. Its methods are not safe for
-// concurrent use; the shell calls them under one lock.
+// Board holds the routing state of one router: targets, pools, queued and running requests, and
+// what is known of the targets' caches. Its methods are not safe for concurrent use; the caller
+// serializes them with one lock.
 type Board struct {
 	rng     *rand.Rand
 	place   Placer
@@ -27,98 +28,106 @@
 	orgs     map[string]*orgState
 	requests map[string]*request
 	prefixes *prefixIndex
-	// partHolders finds targets by the parts that their events say they hold.
+	// partHolders indexes targets by the named parts that their cache events report.
 	partHolders partIndex
 	shared      sharedParts
 	hot         hotParts
-	// firstParts measures how often prompts begin with a part.
+	// firstParts measures the rate of requests by the first part of their prompt.
 	firstParts *generationalMap[Block, meter]
 	fills      []Fill
-	// kept are the prefixes that are hot or in a kept KV store, newlyKept those to
-	// tell peers of, exporting the exports under way.
+	// kept holds the prefixes that are requested often or are in an external KV store.
+	// newlyKept are those to report to peers, and exporting counts the exports in progress.
 	kept      *generationalMap[Block, keptPrefix]
 	newlyKept []Kept
 	exporting int
 	routers   int
 	// begun is when the first configuration was adopted.
 	begun time.Time
-	// crowd is how many routers may have spent retries lately, rounding the part of
-	// one retry that this router's part of the reserve is rounded up by.
+	// recentRouters is the number of routers that may have spent retries recently.
+	// reserveRounding is the fraction of a retry by which this router rounds up its share of
+	// the retry reserve.
 	recentRouters   windowedMax
 	reserveRounding float64
-	// alone says that the settings name no other router, configuredRouters how many they name.
+	// soleRouter is set if the settings name no other router; configuredRouters is the number
+	// of routers that they name.
 	soleRouter        bool
 	configuredRouters int
-	// partialPeerList says that they name only some of the others.
+	// partialPeerList is set if the settings name only some of the other routers.
 	partialPeerList bool
-	// counted is how many other routers told at limitsReportedAt what of limits they use.
+	// limitReporters is the number of other routers whose latest state, received at
+	// limitsReportedAt, contained their usage of limits.
 	limitReporters   int
 	limitsReportedAt time.Time
-	// sharers is how many routers may use limits.
+	// limitSharers is the number of routers that may be using limits.
 	limitSharers windowedMax
 	peers        map[string]PeerState
 	closed       *Refusal
 	round        uint64
 	scratch      []candidate
 	staleness    *Staleness
-	// named is what is known of each model's newest weights, now and before.
+	// named holds, for each model, the newest weights over time.
 	named map[string]spans
-	// placed hears at once of requests that take a target long.
+	// onPlaced is called for each request that keeps its target busy for long.
 	onPlaced func(PlacementReport)
-	// filling are the blocks that targets read now.
+	// pendingFills are the blocks that targets are prefilling.
 	pendingFills map[fillKey]pendingFill
-	// off are the mechanisms that an experiment switched off.
+	// disabled holds the mechanisms that are switched off for experiments.
 	disabled Mechanisms
-	// backoffUntil is until when some target wants no requests.
+	// backoffUntil is the latest end of a back-off that a target requested.
 	backoffUntil time.Time
-	// unlisted are the words of targets that left the list, which hold if they are back.
+	// unlisted holds the hints of targets that left the list, which apply again if they return.
 	unlisted map[netip.AddrPort]unlistedHints
-	// crashes are the targets that ended under requests.
+	// crashes tracks which targets crashed while they ran which requests.
 	crashes crashTracker
-	// rollouts are the pools' newest roll-outs, exposure the share of requests that a release on trial gets.
+	// rollouts holds the newest roll-out of each pool.
 	rollouts map[string]*rollout
-	// reserve has the targets of large pools, holding the targets that are held back as told last.
+	// reserve is the index from which the targets of large pools are loaded. holding is the set
+	// of targets that are held back, as set last.
 	reserve TargetIndex
 	holding map[TargetKey]bool
-	// retiredAt is when targets were last looked through that nobody uses.
+	// retiredAt is when unused targets were last unloaded.
 	retiredAt time.Time
-	exposure  float64
-	// zone is where this router runs, empty if it is of no account.
+	// exposure is the share of the requests that a release on trial receives.
+	exposure float64
+	// zone is the failure domain of this router, or empty if placement ignores distance.
 	zone string
-	// maxPendingPrefill is the prefill that this router may have waiting at one engine; zero
-	// means an even part of what all routers may.
+	// maxPendingPrefill bounds the prefill that this router may have pending at one engine.
+	// Zero means an equal share of the bound for all routers.
 	maxPendingPrefill time.Duration
-	// reused says that an address may become another pool's.
+	// reused is set if an address may be reassigned to another pool.
 	reused bool
-	// minRetryAfter is the least time a caller is told to stay away.
+	// minRetryAfter is the lower bound of Retry-After.
 	minRetryAfter time.Duration
-	// version grows when a target's state changes in a way that decides who serves.
+	// version grows with every change of a target's state that affects which targets serve a
+	// model; it invalidates serving.
 	version uint64
 	serving map[serversKey]*serversList
 }
 
-// pool is a pool's members, queue and retry budget.
+// pool holds a pool's members, queue and retry budget.
 type pool struct {
 	compiled *policy.CompiledPool
 	members  []*target
 	queue    *fairQueue
-	// drained measures the cost sent while requests wait, which is the pool's capacity.
+	// throughput measures the cost of the requests sent while others wait, which is the pool's
+	// capacity.
 	throughput meter
-	// offered measures the requests that arrive.
+	// arrivals measures the rate of arriving requests.
 	arrivals meter
-	// learned is the rate of prefill seen at its members, in tokens per second; zero before the first.
+	// learned is the prefill rate observed at the members, in tokens per second, or zero before
+	// the first observation.
 	learned float64
-	// firsts measures how long answers take to begin.
+	// firstTokens tracks how long answers take to begin.
 	firstTokens firstTokenStats
 	retries     retryBudget
-	// releases are those of its targets that were seen, newest the last one seen, which gets
-	// no requests until newestFrom.
+	// releases holds every release seen among the pool's targets. newest is the one seen last,
+	// which gets no requests until newestFrom.
 	releases   map[string]bool
 	newest     string
 	newestFrom time.Time
 }
 
-// Option changes a [Board] at its construction.
+// Option configures a [Board].
 type Option func(*Board)
 
 // WithSeed sets the seed of the board's random choices.
@@ -126,57 +135,58 @@
 	return func(b *Board) { b.rng = rand.New(rand.NewPCG(seed, seed)) }
 }
 
-// WithPlacer sets the placement policy; without it [Predict] places.
+// WithPlacer sets the placement policy. The default is [Predict].
 func WithPlacer(p Placer) Option {
 	return func(b *Board) { b.place = p }
 }
 
-// WithEventHandler sets the function that gets the board's events.
+// WithEventHandler sets the function that receives the board's events.
 func WithEventHandler(f func(event.Event)) Option {
 	return func(b *Board) { b.onEvent = f }
 }
 
-// WithZone sets the failure domain that this router runs in; services in it are preferred.
+// WithZone sets the failure domain of this router. Targets in the same failure domain are
+// preferred.
 func WithZone(zone string) Option {
 	return func(b *Board) { b.zone = zone }
 }
 
-// WithRouters sets how many routers there are as far as the settings tell, which holds
-// until peers are heard of.
+// WithRouters sets the number of routers that the settings name, which is used until peers are
+// known.
 func WithRouters(n int) Option {
 	return func(b *Board) { b.routers = max(1, n) }
 }
 
-// WithPartialPeerList says that the settings name only some of the routers, so that one which has
-// met no other cannot tell how many share what is bounded for all.
+// WithPartialPeerList declares that the settings name only some of the routers. A router that
+// has not reached any peer then cannot tell how many routers share a bound.
 func WithPartialPeerList() Option {
 	return func(b *Board) { b.partialPeerList = true }
 }
 
-// WithMaxPendingPrefill sets the prefill that this router may have waiting at one engine,
-// where callers are spread too unevenly over routers for an even part to do.
+// WithMaxPendingPrefill sets the prefill that this router may have pending at one engine. It is
+// for callers that are spread too unevenly over the routers for an equal share to suffice.
 func WithMaxPendingPrefill(d time.Duration) Option {
 	return func(b *Board) { b.maxPendingPrefill = d }
 }
 
-// WithReusedAddresses says that an address may become another pool's: one at which an
-// unknown incarnation answers gets no work until that incarnation is reported.
+// WithReusedAddresses declares that an address may be reassigned to another pool: a target that
+// answers with an unknown incarnation gets no requests until that incarnation is reported.
 func WithReusedAddresses() Option {
 	return func(b *Board) { b.reused = true }
 }
 
-// WithPlaced sets the function that hears at once of each request that takes its
-// target long; it must not block.
+// WithPlaced sets the function that is called for each request that keeps its target busy for
+// long. It must not block.
 func WithPlaced(f func(PlacementReport)) Option {
 	return func(b *Board) { b.onPlaced = f }
 }
 
-// WithMinRetryAfter sets the least time a caller is told to stay away.
+// WithMinRetryAfter sets the lower bound of Retry-After.
 func WithMinRetryAfter(d time.Duration) Option {
 	return func(b *Board) { b.minRetryAfter = d }
 }
 
-// NewBoard returns a board without a configuration, which refuses every request.
+// NewBoard returns a board that has no configuration and therefore refuses every request.
 func NewBoard(opts ...Option) *Board {
 	b := &Board{
 		rng:      rand.New(rand.NewPCG(1, 1)),
@@ -221,7 +231,7 @@
 
 func (b *Board) emit(e event.Event) { b.onEvent(e) }
 
-// Adopt puts a configuration in force; one of a lower revision than the present is ignored.
+// Adopt applies a configuration. A revision lower than the current one is ignored.
 func (b *Board) Adopt(now time.Time, snap *policy.Snapshot) []Action {
 	if b.snap != nil && snap.Revision < b.snap.Revision {
 		return nil
@@ -241,7 +251,8 @@
 	return b.dispatch(now)
 }
 
-// adoptPools keeps the queues of pools that stay and moves no request between pools.
+// adoptPools adds, updates and removes pools. Remaining pools keep their queues, and no request
+// moves to another pool.
 func (b *Board) adoptPools(now time.Time) {
 	for _, cp := range b.snap.Pools() {
 		p, ok := b.pools[cp.Name]
@@ -288,7 +299,7 @@
 	}
 }
 
-// Revision returns the revision in force, or zero if there is none.
+// Revision returns the revision of the current configuration, or zero if there is none.
 func (b *Board) Revision() int64 {
 	if b.snap == nil {
 		return 0
@@ -296,16 +307,16 @@
 	return b.snap.Revision
 }
 
-// Snapshot returns the configuration in force, or nil.
+// Snapshot returns the current configuration, or nil if there is none.
 func (b *Board) Snapshot() *policy.Snapshot { return b.snap }
 
-// Close makes the board refuse new requests with r; nil opens it again.
+// Close makes the board refuse new requests with r; nil reopens it.
 func (b *Board) Close(r *Refusal) { b.closed = r }
 
 // Closed reports whether the board refuses new requests.
 func (b *Board) Closed() bool { return b.closed != nil }
 
-// Requests returns the number of requests that are queued or running.
+// Requests returns the number of queued and running requests.
 func (b *Board) Requests() int { return len(b.requests) }
 
 func (b *Board) baseHorizon() time.Duration {
@@ -315,10 +326,11 @@
 	return time.Duration(b.snap.Config.Placement.Horizon)
 }
 
-// hashAddr gives each target a number that all routers agree on.
+// hashAddr returns a hash of a target's address that is the same on all routers.
 func hashAddr(a netip.AddrPort) uint64 { return xxh3.HashString(a.String()) }
 
-// Tick lets time pass: requests whose wait is over are refused, held-back retries go on.
+// Tick processes the passage of time: it refuses requests that have waited for too long and
+// sends retries whose backoff is over.
 func (b *Board) Tick(now time.Time) []Action {
 	b.sweepCrashes(now)
 	b.unloadIdle(now)
@@ -350,7 +362,7 @@
 	return append(out, b.refuse(now, r, CauseDeadline, "the request's time is over")...)
 }
 
-// TargetView is what operators see of a target.
+// TargetView describes a target to operators.
 type TargetView struct {
 	Addr        netip.AddrPort    `json:"addr"`
 	Name        string            `json:"name"`
@@ -361,13 +373,14 @@
 	Failing     bool              `json:"failing"`
 	InFlight    int               `json:"inFlight"`
 	Horizon     time.Duration     `json:"horizonNs"`
-	// Limit is the requests a second that the target takes from all routers, nil where it names none.
+	// Limit is the number of requests per second that the target accepts from all routers
+	// together, or nil if it states none.
 	Limit *float64 `json:"limitPerSecond,omitempty"`
-	// Rests is for how much longer it wants no requests of this router.
+	// Rests is the remaining back-off that the target requested from this router.
 	Rests time.Duration `json:"restsNs,omitempty"`
 }
 
-// View returns the targets in the order of their addresses.
+// View returns all targets, ordered by address.
 func (b *Board) View(now time.Time) []TargetView {
 	all := make([]*target, 0, len(b.targets))
 	for _, t := range b.targets {
@@ -395,7 +408,7 @@
 	return out
 }
 
-// Queued returns the number of requests waiting in each pool.
+// Queued returns the number of queued requests by pool.
 func (b *Board) Queued() map[string]int {
 	out := make(map[string]int, len(b.pools))
 	for name, p := range b.pools {
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,10 +1,9 @@
-// Package route decides what happens to each request: admission, limits, fair
-// queueing, placement by believed cache contents, retries, resumption and the
-// verdict that the caller gets.
+// Package route decides what happens to each request: admission, limits, fair queueing,
+// placement by assumed cache contents, retries, resumption and the verdict on whether a failed
+// request ran.
 //
-// The [Board] is a blackboard. Messages from callers, targets, peers and timers
-// change it through its methods, which take the time as a value and return
-// typed [Action] values for the shell to carry out. Nothing here opens a
-// socket, starts a goroutine or reads a clock, so that a fuzzer can drive a
-// board, or many, deterministically.
+// The [Board] is a deterministic state machine. Its methods process events from callers,
+// targets, peers and timers. They take the current time as an argument and return [Action]
+// values for the caller to execute. The package opens no sockets, starts no goroutines and
+// reads no clock, so a fuzz test can run one board, or many, deterministically.
 package route
--- a/route/feed.go
+++ b/route/feed.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Feed keeps the newest value of each key and tells what changed since a version.
-// It remembers a bounded number of changes; who is further behind gets everything.
+// Feed holds the current value of each key and lists the changes since a version. It remembers
+// a bounded number of changes; a reader that is further behind receives all values.
 type Feed[K comparable, V any] struct {
 	version int64
 	values  map[K]V
 	equal   func(a, b V) bool
-	// changed is the version of each key's last change, log the changes in their order.
+	// changed is the version of each key's last change, and log the changes in order.
 	changed map[K]int64
 	log     []feedEntry[K]
-	// forgotten is the version up to which changes are not remembered.
+	// compactedTo is the version up to which changes were discarded.
 	compactedTo int64
 }
 
@@ -20,18 +20,18 @@
 	key     K
 }
 
-// Change is a change of one key; Gone says that it has no value any more.
+// Change is the change of one key. Gone is set if the key was removed.
 type Change[K comparable, V any] struct {
 	Key   K
 	Value V
 	Gone  bool
 }
 
-// maxFeedLog is the number of changes that a feed remembers: some seconds of what
-// the caches of a large fleet's engines tell.
+// maxFeedLog is the number of changes that a feed remembers, which covers some seconds of the
+// cache events of a large fleet's engines.
 const maxFeedLog = 8192
 
-// NewFeed returns an empty feed; equal reports whether a new value is no change.
+// NewFeed returns an empty feed. Set ignores a new value that equal reports to be the same.
 func NewFeed[K comparable, V any](equal func(a, b V) bool) *Feed[K, V] {
 	return &Feed[K, V]{equal: equal, values: make(map[K]V), changed: make(map[K]int64)}
 }
@@ -39,7 +39,7 @@
 // Version returns the version of the last change.
 func (f *Feed[K, V]) Version() int64 { return f.version }
 
-// Set gives a key its value.
+// Set sets the value of a key.
 func (f *Feed[K, V]) Set(k K, v V) {
 	if old, ok := f.values[k]; ok && f.equal(old, v) {
 		return
@@ -48,7 +48,7 @@
 	f.recordChange(k)
 }
 
-// Drop takes a key out.
+// Drop removes a key.
 func (f *Feed[K, V]) Drop(k K) {
 	if _, ok := f.values[k]; ok {
 		delete(f.values, k)
@@ -56,13 +56,13 @@
 	}
 }
 
-// Get returns a key's value; ok is false where it has none.
+// Get returns the value of a key, if it has one.
 func (f *Feed[K, V]) Get(k K) (v V, ok bool) {
 	v, ok = f.values[k]
 	return v, ok
 }
 
-// Clear takes all keys out. Who knows what was there is told everything that comes after.
+// Clear removes all keys. A reader that knew them receives all later values.
 func (f *Feed[K, V]) Clear() {
 	if len(f.values) == 0 {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// compact forgets the older half of the changes.
+// compact discards the older half of the changes.
 func (f *Feed[K, V]) compact() {
 	cut := len(f.log) / 2
 	f.compactedTo = f.log[cut-1].version
@@ -105,13 +105,13 @@
 // Len returns the number of keys that have a value.
 func (f *Feed[K, V]) Len() int { return len(f.values) }
 
-// Covers reports whether all changes after a version are known.
+// Covers reports whether all changes after a version are remembered.
 func (f *Feed[K, V]) Covers(after int64) bool {
 	return after > 0 && after >= f.compactedTo && after <= f.version
 }
 
-// Since returns what changed after a version. If full is true, the changes are all
-// values there are, and what is not among them is gone.
+// Since returns the changes after a version. If full is true, the changes are all current
+// values, and all other keys were removed.
 func (f *Feed[K, V]) Since(after int64) (changes []Change[K, V], full bool) {
 	if !f.Covers(after) {
 		for k, v := range f.values {
--- a/route/fetch.go
+++ b/route/fetch.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// The bounds of fetching cached parts from another target: how many tokens it
-// must save, and what it takes besides the transfer, which is the engines' set-up
-// time of 3 to 5 ms on the users' sites. assumedEvictedFraction is the part of the fetched
-// tokens that a copy is taken to displace and that will be wanted again, at an
-// engine of which nothing better is known.
+// Constants of fetching cached parts from another target. minFetchTokens is the least number of
+// tokens that a fetch must save. fetchSetup is the time that it takes in addition to the
+// transfer; the engines' setup takes 3 to 5 ms at the users' sites. assumedEvictedFraction is
+// the number of tokens that a fetched token is assumed to evict and that will be needed again,
+// for an engine whose cache contents are unknown.
 const (
 	minFetchTokens         = 48
 	fetchSetup             = 5 * time.Millisecond
 	assumedEvictedFraction = 1.5
 )
 
-// evictedTokenCost is what a token costs that is wanted again and was displaced, in
-// times that an engine takes to read it: the reading, and the wait of others.
+// evictedTokenCost is the cost of evicting a token that is needed again, as a multiple of its
+// prefill time. It covers the prefill and the wait of other requests.
 const evictedTokenCost = 2
 
-// evictionCost is what a request costs by displacing what the engine holds. All that
-// it brings there takes room: what it reads, fetches and makes. The more of the
-// engine's memory has parts that no other engine holds, the more of that is
-// missed. So prompts with a long part of their own run where little is kept and
-// fetch what they share, and what many share stays where it is kept.
+// evictionCost returns the cost of the cached parts that the request evicts from the engine.
+// Everything that it computes, fetches and generates occupies memory. The evicted parts are
+// needed again in proportion to the fraction of the engine's memory that holds parts that no
+// other engine holds. Prompts with a long unshared part therefore run at engines that hold
+// little and fetch their shared parts, and widely shared parts stay where they are.
 func (b *Board) evictionCost(now time.Time, c *candidate, p *pool, r *request) time.Duration {
 	if b.disabled.Has(Displacing) {
 		return 0
@@ -31,12 +31,13 @@
 	if !c.target.parts.known(now) || p.compiled.CacheTokens == 0 {
 		return seconds(assumedEvictedFraction * float64(max(0, c.fetchTokens-c.cachedTokens)) / c.target.rate() / b.expectedUses(r, p))
 	}
-	brought := float64(r.size() - c.cachedTokens)
-	missed := min(1, float64(c.target.parts.soleTokens)/float64(p.compiled.CacheTokens))
-	return seconds(evictedTokenCost * missed * brought / c.target.rate())
+	added := float64(r.size() - c.cachedTokens)
+	soleFraction := min(1, float64(c.target.parts.soleTokens)/float64(p.compiled.CacheTokens))
+	return seconds(evictedTokenCost * soleFraction * added / c.target.rate())
 }
 
-// considerFetches lets candidates fetch what the best holder has beyond their own.
+// considerFetches lets each candidate fetch the longer prefix that another candidate or a store
+// holds.
 func (b *Board) considerFetches(now time.Time, cs []candidate, p *pool, r *request) {
 	if !p.compiled.Fetches || len(cs) == 0 || b.disabled.Has(Fetching) {
 		return
@@ -64,8 +65,8 @@
 	}
 }
 
-// betterSource reports whether fetching from o brings more than what the candidate has or
-// would fetch so far, or as much from its own failure domain.
+// betterSource reports whether fetching from o yields a longer prefix than the candidate holds
+// or would fetch so far, or an equal one from its own failure domain.
 func (c *candidate) betterSource(o *candidate) bool {
 	switch {
 	case o.chain != c.chain || o.cachedTokens < c.cachedTokens+minFetchTokens:
@@ -76,10 +77,11 @@
 	return c.crossZone && o.cachedTokens == c.fetchTokens && o.pending == c.pending && c.target.sameZone(o.target)
 }
 
-// crossZoneLinkFactor is how many times longer a copy takes between failure domains.
+// crossZoneLinkFactor is how many times longer a transfer between failure domains takes.
 const crossZoneLinkFactor = 2
 
-// linkFactor is how many times longer the candidate's copy takes than the link's rate says.
+// linkFactor returns how many times longer the candidate's transfer takes than the link's rate
+// implies.
 func (c *candidate) linkFactor() float64 {
 	if c.crossZone {
 		return crossZoneLinkFactor
@@ -87,11 +89,12 @@
 	return 1
 }
 
-// sameZone reports whether two targets stand in the same failure domain.
+// sameZone reports whether two targets are in the same failure domain.
 func (t *target) sameZone(o *target) bool { return t.labels[LabelZone] == o.labels[LabelZone] }
 
-// expectedUses is how often a copy of a request's shared parts will be used at one engine
-// while it counts as wanted: what a copy displaces is paid for by all its uses.
+// expectedUses returns how often a copy of the request's shared parts will be used at one
+// engine within the eviction horizon. The cost of the evictions that the copy causes is divided
+// by this number.
 func (b *Board) expectedUses(r *request, p *pool) float64 {
 	if r.homes.rate < hotRate {
 		return 1
@@ -100,12 +103,12 @@
 	return max(1, r.homes.rate*horizon/float64(min(r.homes.spread, b.size(p))))
 }
 
-// assumeHolders stands in for events where there are more routers than an engine
-// lets follow them: all routers send a prompt's shared parts first to the same
-// engine in rendezvous order, so that one is taken to hold them, and the others to
-// be able to fetch them there. Where it is wrong, a fetch that finds nothing
-// costs a millisecond. Where all routers follow the events, a target whose events are
-// not known has just started, and holds nothing.
+// assumeHolders substitutes for cache events if there are more routers than may follow the
+// events of an engine. All routers send a prompt's shared parts to the same engine in
+// rendezvous order first, so this engine is assumed to hold them and the others to be able to
+// fetch them from there. A wrong assumption costs a millisecond for a fetch that finds nothing.
+// If all routers follow the events, a target with unknown events has just started and holds
+// nothing.
 func (b *Board) assumeHolders(now time.Time, cs []candidate) {
 	first := make(map[*chain]*candidate, 2)
 	for i := range cs {
@@ -123,12 +126,12 @@
 	}
 }
 
-// storeLinkFraction is the part of the store's link that its moves may take: one that
-// waits behind others costs more than what it brings.
+// storeLinkFraction is the fraction of the store's link that transfers may use. A transfer that
+// queues behind others costs more than it saves.
 const storeLinkFraction = 0.7
 
-// considerStore lets a candidate fetch from the store what no engine holds, while
-// the store's link has room.
+// considerStore lets a candidate fetch from the store a longer prefix than any engine holds,
+// while the store's link has capacity.
 func (b *Board) considerStore(now time.Time, c *candidate, store *target, p *pool) {
 	held := store.parts.leadingTokens(c.chain)
 	if held < max(c.cachedTokens, c.fetchTokens)+minFetchTokens || !b.storeHasRoom(now, store, p) {
@@ -140,10 +143,11 @@
 	c.transfer = fetchSetup + seconds(c.linkFactor()*moved/b.storeRate(p))
 }
 
-// storeRate is the rate of the link of each store that a pool's engines use, in tokens per second.
+// storeRate returns the rate of the link of each store that a pool's engines use, in tokens per
+// second.
 func (b *Board) storeRate(p *pool) float64 { return max(1, p.compiled.StoreRate) }
 
-// storeHasRoom reports whether this router's part of a store's link has room.
+// storeHasRoom reports whether this router's share of a store's link has capacity.
 func (b *Board) storeHasRoom(now time.Time, store *target, p *pool) bool {
 	rate := storeLinkFraction * b.storeRate(p) / float64(b.routers)
 	store.moves.refillTo(now, rate, rate)
--- a/route/fill.go
+++ b/route/fill.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// PlacementReport tells of a request that takes its target long: what the router has in
-// flight there now, and the shared parts that are read.
+// PlacementReport describes a request that keeps its target busy for long: the router's current
+// load at the target and the shared parts that are being prefilled.
 type PlacementReport struct {
 	Load Load
-	// Prefill is what the request has to read, in tokens.
+	// Prefill is the number of prompt tokens that the target has to compute.
 	Prefill int
 	Fills   []Fill
-	// Home chooses the process of a large fleet that is told of the parts.
+	// Home selects the process of a large fleet that stores the fills.
 	Home uint64
 }
 
-// minReportedPrefill is the prefill from which a request is told of at once, in tokens.
+// minReportedPrefill is the least prefill, in tokens, for which a request is reported to peers
+// immediately.
 const minReportedPrefill = 512
 
-// fillKey is a block that a target reads.
+// fillKey identifies a block that a target is computing.
 type fillKey struct {
 	slot  uint32
 	block Block
 }
 
-// pendingFill is the reading of a block. Engines keep the parts of a prompt only once they
-// have read all of it, so until then a block can be neither used nor fetched.
+// pendingFill is the computation of a block. Engines keep the blocks of a prompt only after the
+// whole prompt has been prefilled, so until then a block can be neither used nor fetched.
 type pendingFill struct {
 	begun time.Time
-	// due is when the block will be read, as predicted.
+	// expectedAt is when the block is predicted to be computed.
 	expectedAt time.Time
-	// own says that this router will see the end; a peer's is taken to end when it is due.
+	// local is set if this router sends the request and therefore sees its end. A peer's fill
+	// is assumed to end at expectedAt.
 	local bool
 }
 
-// remaining is how much longer a reading takes, as predicted.
+// remaining returns the predicted time until the block is computed.
 func (f pendingFill) remaining(now time.Time) time.Duration {
 	if f.expectedAt.IsZero() {
 		return 0
@@ -40,32 +42,33 @@
 	return max(0, f.expectedAt.Sub(now))
 }
 
-// beginFill notes the shared parts that the target will read, and tells of them.
+// beginFill records the shared parts that the target will compute, and reports them.
 func (b *Board) beginFill(now time.Time, c *candidate, r *request, a *attempt) {
 	t := c.target
-	takes := c.timeToFirstToken(r)
-	out := PlacementReport{Home: r.homes.lastPartHash}
-	have := max(c.readyTokens, c.imported.Tokens, c.fetchTokens)
+	duration := c.timeToFirstToken(r)
+	report := PlacementReport{Home: r.homes.lastPartHash}
+	available := max(c.readyTokens, c.imported.Tokens, c.fetchTokens)
 	for _, n := range c.chain.messageEnds[:max(0, len(c.chain.messageEnds)-1)] {
-		if c.chain.tokens[n] < have+minFetchTokens {
+		if c.chain.tokens[n] < available+minFetchTokens {
 			continue
 		}
 		block := c.chain.blocks[n]
-		out.Fills = append(out.Fills, Fill{Target: t.key(), Block: block, Left: takes})
+		report.Fills = append(report.Fills, Fill{Target: t.key(), Block: block, Left: duration})
 		key := fillKey{t.slot, block}
 		if _, ok := b.pendingFills[key]; !ok {
-			b.pendingFills[key] = pendingFill{begun: now, expectedAt: now.Add(takes), local: true}
+			b.pendingFills[key] = pendingFill{begun: now, expectedAt: now.Add(duration), local: true}
 			a.fills = append(a.fills, key)
 		}
 	}
 	if a.uncached >= minReportedPrefill {
-		out.Prefill = a.uncached
-		out.Load = Load{t.key(), len(t.attempts) + 1, t.prefill + a.uncached, t.tokens}
-		b.onPlaced(out)
+		report.Prefill = a.uncached
+		report.Load = Load{t.key(), len(t.attempts) + 1, t.prefill + a.uncached, t.tokens}
+		b.onPlaced(report)
 	}
 }
 
-// endFill notes that what an attempt's target read is kept, or never will be.
+// endFill removes the pending fills of an attempt, whose blocks are now either cached or not
+// going to be.
 func (b *Board) endFill(a *attempt) {
 	for _, key := range a.fills {
 		delete(b.pendingFills, key)
@@ -73,7 +76,7 @@
 	a.fills = nil
 }
 
-// MergeFills takes a peer's word on shared parts that targets hold or are reading.
+// MergeFills records shared parts that targets hold or are computing, as reported by a peer.
 func (b *Board) MergeFills(now time.Time, fills []Fill) {
 	for _, f := range fills {
 		t, ok := b.loadTarget(now, f.Target)
@@ -91,7 +94,8 @@
 	}
 }
 
-// Holders returns the targets that lately were sent blocks of which a peer asks.
+// Holders returns the targets to which the given blocks were sent recently. It answers a peer's
+// query.
 func (b *Board) Holders(now time.Time, blocks []Block) []Fill {
 	var out []Fill
 	for _, block := range blocks {
@@ -112,8 +116,8 @@
 	return out
 }
 
-// maxHolderAge is how old a send may be by which a target is named as the holder of a block: for as long as its
-// events, or what was last used there, do not tell better.
+// maxHolderAge returns the age up to which a sent prompt makes its target a holder. Beyond it,
+// the target's cache events or its eviction horizon are more accurate.
 func (b *Board) maxHolderAge(t *target) time.Duration {
 	if b.readsCacheEvents(t) {
 		return relayedLag
@@ -121,13 +125,13 @@
 	return t.horizon.age
 }
 
-// maxQueriedWeights bounds the weights of a model under which holders are asked for:
-// while engines are changed there are two, or three if namings follow each other.
+// maxQueriedWeights bounds the number of a model's weights for which holders are queried. While
+// engines switch weights there are two, or three if a second switch follows soon.
 const maxQueriedWeights = 3
 
-// HolderQuery returns the blocks of a request's shared parts under the weights that
-// are served, and the number by which the process that is asked for their holders is
-// chosen; ok is false if the request shares too little for that.
+// HolderQuery returns the blocks of a request's shared parts under each of the weights that are
+// served, and the hash that selects the process to query for their holders. It returns false if
+// too little of the prompt is shared.
 func (b *Board) HolderQuery(req Request) (home uint64, blocks []Block, ok bool) {
 	p, found := b.pools[req.Pool]
 	if req.Model == nil || len(req.Parts) < 2 || !found {
@@ -151,7 +155,7 @@
 	return r.lastPartHash(), blocks, len(blocks) > 0
 }
 
-// expireFills forgets the readings of peers that are over.
+// expireFills removes peers' pending fills that are past their expected end.
 func (b *Board) expireFills(now time.Time) {
 	for key, f := range b.pendingFills {
 		if !f.local && now.After(f.expectedAt) {
@@ -160,17 +164,17 @@
 	}
 }
 
-// pendingFillOf returns the reading of a block that a target is believed to hold, if it is not over.
+// pendingFillOf returns the pending fill of a block at a target, if there is one.
 func (b *Board) pendingFillOf(now time.Time, slot uint32, block Block) (f pendingFill, ok bool) {
 	f, ok = b.pendingFills[fillKey{slot, block}]
 	return f, ok && (f.local || !now.After(f.expectedAt))
 }
 
-// awaitPendingFill decides what becomes of a request whose candidate was chosen for what is
-// still being read. Reading that again would take an engine's time for nothing, so
-// the request is held until it is read, and settle returns nil. It goes to another
-// candidate where only reading again lets its answer begin in time, and is not held
-// for a reading that takes over twice as long as was predicted.
+// awaitPendingFill decides what to do with a request whose best candidate is still computing
+// the prefix that it was chosen for. Computing the prefix twice wastes engine time, so the
+// request waits for the fill, and awaitPendingFill returns nil. If only computing it again lets
+// the answer begin in time, it returns another candidate. A fill that takes more than twice as
+// long as predicted is not waited for.
 func (b *Board) awaitPendingFill(now time.Time, p *pool, r *request, c *candidate, extra time.Duration) (*candidate, time.Duration) {
 	f := c.pending
 	if f.expectedAt.IsZero() || b.disabled.Has(AwaitReading) || now.After(f.expectedAt.Add(f.expectedAt.Sub(f.begun))) {
@@ -187,13 +191,13 @@
 	return nil, 0
 }
 
-// meetsAim reports whether the answer is predicted to begin in time, which it always
-// does where no aim is stated.
+// meetsAim reports whether the answer is predicted to begin in time. This is always true if the
+// request states no aim.
 func (c *candidate) meetsAim(now time.Time, r *request) bool {
 	return r.Aim == 0 || !now.Add(c.timeToFirstToken(r)).After(r.arrived.Add(r.Aim))
 }
 
-// timeToFirstToken is the predicted time until the answer begins.
+// timeToFirstToken returns the predicted time until the answer begins.
 func (c *candidate) timeToFirstToken(r *request) time.Duration {
 	return c.wait + c.transfer + c.prefill(r)
 }
--- a/route/fingerprint.go
+++ b/route/fingerprint.go
@@ -8,16 +8,17 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Fingerprint names requests that are copies of one: of the same organisation, with the
-// same method, host, path and body. What differs from copy to copy, as the request's id and
-// the caller's patience, is no part of it. It tells nothing of the text but whether two are the same.
+// Fingerprint identifies copies of a request: requests of the same organisation with the same
+// method, host, path and body. It does not depend on properties that differ between copies,
+// such as the request ID and the caller's deadline. It reveals nothing about the text except
+// whether two requests are equal.
 //
-// It is cut from a SHA-256 sum, so that no organisation can make a request that passes
-// for another's, and every process gets the same without a common secret.
+// It is a truncated SHA-256 sum, so an organisation cannot forge a request with the fingerprint
+// of another one, and all processes compute the same fingerprint without a shared secret.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of a request. It reads the body once, which takes
-// some 0.9 µs for each KB where the processor has instructions for SHA-256 (BenchmarkFingerprint).
+// FingerprintOf returns the fingerprint of a request. It reads the body once, which takes about
+// 0.9 µs per KB on processors with SHA-256 instructions.
 func FingerprintOf(org, method, host, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	var size [8]byte
@@ -32,7 +33,7 @@
 	return f
 }
 
-// String returns the fingerprint as logs have it.
+// String returns the fingerprint as it appears in logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements [encoding.TextMarshaler].
@@ -42,11 +43,11 @@
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil || len(data) != len(f) {
-		return errs.Errorf("%q is no fingerprint, which has %d hexadecimal digits", text, 2*len(f))
+		return errs.Errorf("%q is not a fingerprint of %d hexadecimal digits", text, 2*len(f))
 	}
 	copy(f[:], data)
 	return nil
 }
 
-// Known reports whether it is a request's at all.
+// Known reports whether f is the fingerprint of a request, and not the zero value.
 func (f Fingerprint) Known() bool { return f != Fingerprint{} }
--- a/route/homes.go
+++ b/route/homes.go
@@ -7,29 +7,30 @@
 	"github.com/zeebo/xxh3"
 )
 
-// homes orders the engines of a large pool for a prompt of named parts, the same
-// way on every router and under all weights.
+// homes orders the engines of a large pool for a prompt of named parts, in the same way on
+// every router and under all weights.
 //
-// The first part, which many prompts share, decides over a set of engines; the
-// last shared part orders the engines of that set. So a first part is held by a
-// few engines only, also where what follows it is seldom asked for twice.
+// The first part, which many prompts share, determines a set of engines, and the last shared
+// part orders the engines of this set. A first part is therefore held by few engines, even if
+// the parts that follow it are rarely requested twice.
 type homes struct {
 	setHash   uint64
 	orderHash uint64
-	// part is the last shared part itself, before it is spread.
+	// lastPartHash identifies the last shared part. orderHash differs from it if the part is
+	// spread over several engines.
 	lastPartHash uint64
-	// size is how many engines the first part's set has; it is 0 for a prompt
-	// without shared parts, which has no homes.
+	// setSize is the number of engines in the first part's set. It is 0 for a prompt without
+	// shared parts, which has no home.
 	setSize float64
-	// rate is how often all routers together get requests with this last shared
-	// part, engines over how many engines it is spread for that.
+	// rate is the rate of requests with this last shared part at all routers, and spread the
+	// number of engines over which the part is spread.
 	rate   float64
 	spread int
 }
 
-// The size of a first part's set: how many requests a second one engine is to get
-// of it, which leaves an engine's time to several sets, and the least number of
-// engines, so that one may be lost or busy. The rate is measured over homeWindow.
+// Constants of the set of a first part. The set has one engine for every requestsPerHome
+// requests per second, which leaves time of the engine for other sets, in addition to
+// minHomeEngines, so that one engine may be lost or busy. The rate is measured over homeWindow.
 const (
 	requestsPerHome = 1.5
 	minHomeEngines  = 3
@@ -37,11 +38,11 @@
 	maxFirstParts   = 1 << 14
 )
 
-// rankOutside is how far the rank of an engine outside of a first part's set is
-// shifted down, so that it counts behind those that are in it.
+// rankOutside is the shift that reduces the rank of an engine outside the first part's set, so
+// that it comes after the engines of the set.
 const rankOutside = 8
 
-// countParts counts a request for its first part and works its homes out.
+// countParts counts the request's first and last shared parts and determines its homes.
 func (b *Board) countParts(now time.Time, r *request) {
 	if r.Model == nil || len(r.Parts) < 2 {
 		return
@@ -56,7 +57,7 @@
 		r.homes.spread = 1
 	}
 	if n := r.homes.spread; n > 1 {
-		// Each of the requests has one of n engines as its home.
+		// Each request has one of the n engines as its home.
 		r.homes.orderHash = mixHash(r.homes.orderHash + uint64(b.rng.IntN(n)))
 	}
 	m := meterOf(b.firstParts, Block(r.homes.setHash), homeWindow)
@@ -65,12 +66,13 @@
 	r.homes.setSize = minHomeEngines + rate/requestsPerHome
 }
 
-// lastPartHash is a number of the request's last shared part that is the same under all weights.
+// lastPartHash returns a hash of the request's last shared part that does not depend on the
+// weights.
 func (r *request) lastPartHash() uint64 {
 	return xxh3.HashStringSeed(r.Parts[len(r.Parts)-2].ID, xxh3.HashString(r.Salt("").String()))
 }
 
-// sharedTokens is the length of the request's shared parts.
+// sharedTokens returns the length of the request's shared parts in tokens.
 func (r *request) sharedTokens() int {
 	n := 0
 	for _, p := range r.Parts[:len(r.Parts)-1] {
@@ -79,7 +81,7 @@
 	return n
 }
 
-// rank orders an engine of a pool of n for the prompt.
+// rank returns the rank of an engine of a pool of n for the prompt.
 func (h homes) rank(n int, hash uint64) uint64 {
 	rank := mixHash(h.orderHash ^ hash)
 	if mixHash(h.setHash^hash) < h.setThreshold(n) {
@@ -88,8 +90,8 @@
 	return rank
 }
 
-// setThreshold is the rank for the first part from which an engine of a pool of n is in
-// the part's set; all of a small pool are.
+// setThreshold returns the least hash with which an engine of a pool of n is in the first
+// part's set. In a small pool all engines are.
 func (h homes) setThreshold(n int) uint64 {
 	if n <= maxFullScan || h.setSize >= float64(n) {
 		return 0
--- a/route/hot.go
+++ b/route/hot.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// PartRate is how often prompts end their shared parts with one part, in requests per second.
+// PartRate is the rate of requests whose shared parts end with a given part, in requests per
+// second.
 type PartRate struct {
-	// Part names the part and who shares it, whatever the weights.
+	// Part is a hash of the part and of who shares it, independent of the weights.
 	Part uint64
 	Rate float64
 }
 
-// hotParts measures how often prompts are about the same thing: the last part that
-// they share. One that is asked for more often than one engine should serve is
-// spread over several, the same way on every router.
+// hotParts measures the request rate of the last shared part of prompts. A part that is
+// requested too often for one engine is spread over several, in the same way on every router.
 type hotParts struct {
 	local *generationalMap[Block, meter]
-	// others are the rates at the peers, of the parts that are hot there together.
+	// peerRates are the total rates at the peers, for the parts that are hot there.
 	peerRates map[Block]float64
 }
 
-// The bounds of hot parts: the time over which a rate is measured, the number of
-// parts measured and of those told of, the rate from which a part is hot, and the
-// part of an engine's time that the prefills of one may take.
+// Constants of hot parts. Rates are measured over hotWindow for at most maxTrackedParts parts,
+// of which at most maxHot are reported to peers. A part is hot from hotRate on. Its prefills
+// may take the fraction hotShare of an engine's time.
 const (
 	hotWindow       = 4 * time.Second
 	maxTrackedParts = 1 << 12
 	maxHot          = 32
-	// maxMergedHot is the same for what several routers tell together.
+	// maxMergedHot is the corresponding bound for the merged rates of several routers.
 	maxMergedHot = 4 * maxHot
 	hotRate      = 1.5
 	hotShare     = 0.2
-	// minReportedRate is the rate below which a router tells nothing: one request a window ago.
+	// minReportedRate is the least rate that is reported. It corresponds to one request a
+	// window ago.
 	minReportedRate = 0.09
 )
 
@@ -49,36 +50,36 @@
 	return m.windowRate(now) + h.peerRates[part]
 }
 
-// report returns the rates to tell peers of.
+// report returns the rates to report to peers.
 func (h *hotParts) report(now time.Time) []PartRate {
-	var out []PartRate
+	var rates []PartRate
 	for part, m := range h.local.recent {
 		if rate := m.windowRate(now); rate > minReportedRate {
-			out = append(out, PartRate{uint64(part), rate})
+			rates = append(rates, PartRate{uint64(part), rate})
 		}
 	}
-	return topRates(out, maxHot)
+	return topRates(rates, maxHot)
 }
 
-func topRates(rates []PartRate, most int) []PartRate {
+func topRates(rates []PartRate, limit int) []PartRate {
 	slices.SortFunc(rates, func(a, b PartRate) int {
 		return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Part, b.Part))
 	})
-	return rates[:min(len(rates), most)]
+	return rates[:min(len(rates), limit)]
 }
 
-// TopRates returns those of several routers' joined rates that are told on, before it
-// is known which are hot in the whole fleet. A part that is hot there stands far above
-// what one request in the window makes of a part, which is nearly all that is left out:
-// 800 rates where 28 routers report, 16 KB to each other relay four times a second.
+// TopRates returns the highest of the merged rates of several routers, to be forwarded before
+// it is known which parts are hot in the whole fleet. Nearly all of the omitted parts had a
+// single request in the window, far below the rate of a hot part. With 28 reporting routers
+// there are 800 rates, which are 16 KB to each other relay four times per second.
 func TopRates(rates []PartRate) []PartRate { return topRates(slices.Clone(rates), maxMergedHot) }
 
-// Hottest returns those of a fleet's joined rates that are hot.
+// Hottest returns the hot parts among the merged rates of a fleet.
 func Hottest(rates []PartRate) []PartRate {
 	return topRates(slices.DeleteFunc(slices.Clone(rates), func(r PartRate) bool { return r.Rate < hotRate/2 }), maxHot)
 }
 
-// merge takes the rates that peers told.
+// merge replaces the peers' rates by those in their latest states.
 func (h *hotParts) merge(states map[string]PeerState) {
 	clear(h.peerRates)
 	for _, s := range states {
@@ -88,8 +89,8 @@
 	}
 }
 
-// spreadFor returns over how many engines a part of this rate is spread, where a
-// request's own part takes an engine so long.
+// spreadFor returns the number of engines over which a part with this rate is spread, given the
+// prefill time of a request's own part.
 func spreadFor(rate float64, prefill time.Duration) int {
 	if rate < hotRate {
 		return 1
@@ -97,12 +98,13 @@
 	return max(1, int(math.Ceil(rate*prefill.Seconds()/hotShare)))
 }
 
-// nonHomePenalty is what a request about a hot part pays for any engine but its home.
-// The loads that are told of are old: without it, all routers would send what they
-// get in the meantime to the engine that was the least loaded.
+// nonHomePenalty is the cost of sending a request for a hot part to an engine other than its
+// home. The known loads of the engines are outdated; without the penalty, all routers would
+// send the requests that arrive in the meantime to the engine that was least loaded.
 const nonHomePenalty = 40 * time.Millisecond
 
-// penalizeNonHome prices the candidates that are not the home of a request about a hot part.
+// penalizeNonHome adds the penalty to the candidates that are not the home of a request for a
+// hot part.
 func penalizeNonHome(cs []candidate, r *request) {
 	if r.homes.spread <= 1 || len(cs) == 0 {
 		return
@@ -115,7 +117,7 @@
 	}
 }
 
-// homeRank is the rank of the request's home among its candidates.
+// homeRank returns the rank of the request's home among its candidates.
 func homeRank(cs []candidate) uint64 {
 	return slices.MaxFunc(cs, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) }).rank
 }
--- a/route/kept.go
+++ b/route/kept.go
@@ -7,7 +7,7 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// Export asks to copy a hot prefix from a target to the kept KV store.
+// Export instructs to copy a hot prefix from a target to the external KV store.
 type Export struct {
 	Target  TargetKey
 	Pool    string
@@ -19,21 +19,22 @@
 
 func (Export) isAction() {}
 
-// Import asks to fill a target's cache from the kept KV store before an attempt is sent.
+// Import describes a prefix to load from the external KV store into a target's cache before an
+// attempt is sent.
 type Import struct {
 	Pool   string
 	Key    Block
 	Tokens int
 }
 
-// Kept says that a prefix is in a kept KV store; its key names organisation,
-// model, adapter and weights, since it is the prefix's block.
+// Kept reports that a prefix is in an external KV store. Its key is the block of the prefix,
+// which depends on the organisation, model, adapter and weights.
 type Kept struct {
 	Key    Block
 	Tokens int
 }
 
-// keptPrefix is what a board knows of one prefix at the end of a message.
+// keptPrefix is the state of a prefix that ends at a message end.
 type keptPrefix struct {
 	uses    meter
 	tokens  int
@@ -41,9 +42,10 @@
 	askedAt time.Time
 }
 
-// The bounds of exporting: how often a prefix must be asked for at one router to
-// be worth it, how long it must be, how soon it is tried again, how many exports
-// a router makes in a second, and how many prefixes it remembers.
+// Constants of exports and imports. A prefix is exported if it is requested at least
+// minExportRate times per second at one router, measured over exportRateWindow, and has at
+// least minKeptTokens. A failed export is repeated after exportRetryDelay at the earliest, and
+// a router has at most exportsAtOnce exports in progress.
 const (
 	minExportRate    = 0.2
 	minKeptTokens    = 512
@@ -57,14 +59,14 @@
 	maxKeptReported  = 16
 )
 
-// keptPool returns the pool that keeps a model's KV cache and has a usable target.
+// keptPool returns the pool that stores a model's KV cache, if it has a usable target.
 func (b *Board) keptPool(m *policy.Model) (string, bool) {
 	p, ok := b.pools[m.KeptPool]
 	if m.KeptPool == "" || !ok {
 		return "", false
 	}
 	if p.compiled.Fetches {
-		// The engines save and fetch by themselves.
+		// The engines save and fetch on their own.
 		return "", false
 	}
 	for _, t := range p.members {
@@ -75,10 +77,10 @@
 	return "", false
 }
 
-// directStores returns the stores that a model's engines save to and fetch from by
-// themselves and that answer. An installation may have several, each with a link and
-// room of its own: with one of three in use, 60 engines read 6.4 million tokens of shared
-// parts again on a busy day, with all three 4.9 million (one play of each).
+// directStores returns the responding stores that a model's engines save to and fetch from on
+// their own. An installation may have several, each with its own link and capacity. All are
+// used: with one of three stores in use, 60 engines recomputed 6.4 million tokens of shared
+// parts on a busy day, with all three 4.9 million (one run each).
 func (b *Board) directStores(now time.Time, m *policy.Model) []*target {
 	p, ok := b.pools[m.KeptPool]
 	if m.KeptPool == "" || !ok || !p.compiled.Fetches || b.disabled.Has(KeptStore) {
@@ -93,13 +95,14 @@
 	return out
 }
 
-// minSaveTokens is the number of shared tokens that an engine must read anew for a
-// prompt to be worth saving: less is sooner read again than moved.
+// minSaveTokens is the least number of shared tokens to compute for which a prompt is saved.
+// Computing fewer tokens again is faster than transferring them.
 const minSaveTokens = 512
 
-// chooseSaveStore decides whether the engine sends the prompt's parts to the store that is
-// their home. All routers together save no more in the time of a part's last use than
-// a store holds: else it would drop each part before it is asked for again.
+// chooseSaveStore returns the store to which the engine saves the prompt's parts, or the zero
+// value if they are not saved. All routers together save no more than the capacity of a store
+// within the time in which a part is used again, since the store would otherwise evict parts
+// before their next use.
 func (b *Board) chooseSaveStore(now time.Time, c *candidate, r *request) netip.AddrPort {
 	stores := b.directStores(now, r.Model)
 	if len(stores) == 0 || len(c.chain.tokens) < 2 {
@@ -118,7 +121,7 @@
 			home = t
 		}
 	}
-	// What the store has is not sent to it again.
+	// The part of the prompt that the store holds is not transferred again.
 	p := b.pools[r.Model.KeptPool]
 	held := home.parts.leadingTokens(c.chain)
 	moved, gained := float64(r.promptTokens()-held), float64(shared-held)
@@ -130,24 +133,26 @@
 	return home.addr
 }
 
-// saveBurst is how much of a store's room a router may fill at once, as the time in
-// which its part of the room comes in. In a fleet of 195 a router's part is one prompt
-// in five seconds; with a burst of one second, what comes in after that is lost until the
-// next prompt to be saved, by reckoning two fifths of it.
+// saveBurst is the part of a store's capacity that a router may fill at once, as the time in
+// which it accrues. In a fleet of 195 routers a router's share is one prompt in five seconds.
+// With a burst of one second, the share that accrues after that is lost until the next prompt
+// to save, which is an estimated two fifths of the total.
 const saveBurst = 5 * time.Second
 
-// worthSaving reports whether this router's part of a store's room is well spent on a
-// prompt of whose tokens a part is shared. A prompt's own end takes room too and serves
-// nobody, so the less room is left, the more of the prompt must be shared.
-func (b *Board) worthSaving(now time.Time, store *target, p *pool, shared float64) bool {
-	room := float64(p.compiled.CacheTokens)
-	rate := room / time.Duration(b.snap.Config.Placement.Horizon).Seconds() / float64(b.routers)
+// worthSaving reports whether a prompt, of whose tokens the given fraction is shared, should
+// use this router's share of a store's capacity. The prompt's unshared end also occupies the
+// store but serves no other request, so the required fraction grows as the remaining capacity
+// shrinks.
+func (b *Board) worthSaving(now time.Time, store *target, p *pool, sharedFraction float64) bool {
+	capacity := float64(p.compiled.CacheTokens)
+	rate := capacity / time.Duration(b.snap.Config.Placement.Horizon).Seconds() / float64(b.routers)
 	burst := rate * saveBurst.Seconds()
 	store.saves.refillTo(now, rate, burst)
-	return store.saves.level > 0 && shared >= 1-store.saves.level/burst
+	return store.saves.level > 0 && sharedFraction >= 1-store.saves.level/burst
 }
 
-// keptEntry returns what is known of a prefix with so many tokens.
+// keptEntry returns the entry of a prefix with the given number of tokens, which it creates if
+// there is none.
 func (b *Board) keptEntry(key Block, tokens int) *keptPrefix {
 	k := b.kept.getOrCreate(key)
 	if k.tokens == 0 {
@@ -157,8 +162,8 @@
 	return k
 }
 
-// offerExport counts a prefix that a target has just computed and asks for its
-// export once it is hot. The prefix ends with the last message but one.
+// offerExport counts the use of a prefix that a target has just computed and returns an export
+// if the prefix is hot. The prefix ends with the last but one message.
 func (b *Board) offerExport(now time.Time, r *request, a *attempt) []Action {
 	pool, ok := b.keptPool(r.Model)
 	c := r.chain(a.Weights)
@@ -182,7 +187,7 @@
 	}}
 }
 
-// Exported takes the end of an export.
+// Exported records the end of an export.
 func (b *Board) Exported(e Export, stored bool) {
 	b.exporting--
 	if k := b.kept.get(e.Key); k != nil && stored {
@@ -192,18 +197,18 @@
 	}
 }
 
-// ImportFailed forgets a kept prefix that the store no longer has.
+// ImportFailed records that the store no longer has a prefix.
 func (b *Board) ImportFailed(key Block) {
 	if k := b.kept.get(key); k != nil {
 		k.stored = false
 	}
 }
 
-// mergeKept takes the prefixes that peers have stored.
+// mergeKept records the prefixes that peers have stored.
 func (b *Board) mergeKept(states map[string]PeerState) {
 	for _, s := range states {
-		for _, told := range s.Kept {
-			b.keptEntry(told.Key, told.Tokens).stored = true
+		for _, kept := range s.Kept {
+			b.keptEntry(kept.Key, kept.Tokens).stored = true
 		}
 	}
 }
@@ -223,10 +228,10 @@
 	return Import{}, false
 }
 
-// considerImports lets candidates take a kept prefix in place of computing it,
-// where that is quicker and no candidate holds it: an import to a further engine
-// displaces what others will miss there, as spreading does. It is for engines
-// whose caches were emptied lately; an engine that evicted a prefix needs the room.
+// considerImports lets candidates import a kept prefix in place of computing it, if that is
+// faster and no candidate holds the prefix. An import to another engine evicts blocks that will
+// be missed there, as spreading does. Imports are for engines whose caches were emptied
+// recently; an engine that evicted the prefix needs the memory for other blocks.
 func (b *Board) considerImports(now time.Time, cs []candidate, r *request) {
 	if len(cs) == 0 {
 		return
@@ -256,7 +261,8 @@
 	}
 }
 
-// KeptStore returns the target of a kept pool that a key belongs to; all routers agree on it.
+// KeptStore returns the target of a pool of stores that a key belongs to. All routers choose
+// the same one.
 func (b *Board) KeptStore(pool string, key Block) (addr netip.AddrPort, ok bool) {
 	p, ok := b.pools[pool]
 	if !ok {
--- a/route/mechanism.go
+++ b/route/mechanism.go
@@ -7,57 +7,62 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Mechanisms is a set of mechanisms, each of which an experiment can switch off to
-// measure what it is worth.
+// Mechanisms is a set of mechanisms. Experiments can switch off each of them to measure its
+// effect.
 type Mechanisms uint32
 
-// The mechanisms that can be switched off.
+// Mechanisms that can be switched off.
 const (
-	// CacheEvents is the reading of what targets' caches hold.
+	// CacheEvents uses the cache events of targets.
 	CacheEvents Mechanisms = 1 << iota
 	// Fetching lets targets copy cached parts from each other.
 	Fetching
-	// KeptStore lets targets save parts to a store and fetch them from there.
+	// KeptStore lets targets save parts to a store and fetch them from it.
 	KeptStore
-	// Displacing prices what a copy or a long prompt displaces.
+	// Displacing adds the cost of the cached parts that a copy or a long prompt evicts.
 	Displacing
-	// Spreading gives parts that are asked for often several homes.
+	// Spreading distributes frequently requested parts over several engines.
 	Spreading
-	// MemoryBound bounds the memory of a target that running requests take.
+	// MemoryBound bounds the memory of a target that running requests occupy.
 	MemoryBound
 	// Urgency orders requests by priority.
 	Urgency
-	// Retrying sends a failed request again.
+	// Retrying retries failed requests.
 	Retrying
-	// Resuming lets a broken answer go on at another target.
+	// Resuming resumes an interrupted answer at another target.
 	Resuming
-	// NewestWeights prices older weights.
+	// NewestWeights penalizes older weights.
 	NewestWeights
-	// Distance prices targets of plain services in other failure domains.
+	// Distance penalizes targets in other failure domains.
 	Distance
-	// FailurePrice prices targets that failed attempts lately.
+	// FailurePrice penalizes targets with recent failures.
 	FailurePrice
-	// SilentWords are peers' words on silent targets.
+	// SilentWords uses the reports of peers about unresponsive targets.
 	SilentWords
-	// AwaitReading holds requests for parts that are being read.
+	// AwaitReading lets requests wait for pending fills.
 	AwaitReading
-	// PoolRate takes a target of which nothing was learned for as quick as its pool.
+	// PoolRate uses the prefill rate of the pool for a target without observations.
 	PoolRate
-	// AwaitBest holds requests for a while for their best target.
+	// AwaitBest lets requests wait for their best target for some time.
 	AwaitBest
-	// PlacedWords tell peers of a small fleet at once of requests that take long.
+	// PlacedWords reports requests that keep a target busy for long to the peers of a small
+	// fleet immediately.
 	PlacedWords
-	// HolderHomes are asked in a large fleet who holds the parts of a prompt.
+	// HolderHomes asks a designated process of a large fleet for the holders of a prompt's
+	// parts.
 	HolderHomes
-	// RecentWords tell all nodes of a large fleet soon of requests that take long.
+	// RecentWords distributes reports of requests that keep a target busy for long to all nodes
+	// of a large fleet.
 	RecentWords
-	// Pairs lets more than one target of a model change its weights at once.
+	// Pairs lets more than one target of a model switch its weights at once.
 	Pairs
-	// LeastLoaded changes the weights of targets with little work first.
+	// LeastLoaded switches the weights of targets with the least work first.
 	LeastLoaded
-	// OthersEntries are told in gossip where two nodes have not heard of the same peers.
+	// OthersEntries includes other nodes' entries in gossip between two nodes that do not know
+	// the same peers.
 	OthersEntries
-	// LimitAccount lets routers keep organisations' limits together, in place of equal parts.
+	// LimitAccount lets routers account for the organisations' limits jointly, in place of
+	// equal shares.
 	LimitAccount
 )
 
@@ -72,23 +77,24 @@
 // MechanismNames returns the names of all mechanisms.
 func MechanismNames() []string { return slices.Clone(mechanismNames) }
 
-// ParseMechanisms returns the set of the mechanisms named; an error names one that is not known.
+// ParseMechanisms returns the set of the named mechanisms. It returns an error if a name is
+// unknown.
 func ParseMechanisms(names []string) (Mechanisms, error) {
 	var out Mechanisms
 	for _, name := range names {
 		i := slices.Index(mechanismNames, name)
 		if i < 0 {
-			return 0, errs.Errorf("mechanism %q is not known; there are %s", name, strings.Join(mechanismNames, ", "))
+			return 0, errs.Errorf("unknown mechanism %q; known mechanisms are %s", name, strings.Join(mechanismNames, ", "))
 		}
 		out |= 1 << i
 	}
 	return out, nil
 }
 
-// Has reports whether the set has a mechanism.
+// Has reports whether the set contains a mechanism.
 func (m Mechanisms) Has(one Mechanisms) bool { return m&one != 0 }
 
-// String returns the names of the mechanisms in the set.
+// String returns the names of the mechanisms in the set, separated by commas.
 func (m Mechanisms) String() string {
 	var names []string
 	for i, name := range mechanismNames {
@@ -99,7 +105,7 @@
 	return strings.Join(names, ",")
 }
 
-// WithoutMechanisms switches mechanisms off.
+// WithoutMechanisms switches the given mechanisms off.
 func WithoutMechanisms(off Mechanisms) Option {
 	return func(b *Board) { b.disabled = off }
 }
--- a/route/meter.go
+++ b/route/meter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// meter measures a rate per second, forgetting the past with a time constant.
+// meter measures a rate per second with exponential decay.
 type meter struct {
 	window time.Duration
 	value  float64
@@ -14,7 +14,7 @@
 	begun time.Time
 }
 
-func newMeter(over time.Duration) meter { return meter{window: over} }
+func newMeter(window time.Duration) meter { return meter{window: window} }
 
 func (m *meter) add(now time.Time, n float64) {
 	m.decay(now)
@@ -31,36 +31,37 @@
 	}
 }
 
-// rate corrects for the time before the first event, which is no sign of a low rate.
+// rate returns the rate, corrected for the time before the first event, which must not count as
+// a time without events.
 func (m *meter) rate(now time.Time) float64 {
 	m.decay(now)
 	seen := max(now.Sub(m.begun), m.window/16)
 	return m.value / (m.window.Seconds() * (1 - math.Exp(-float64(seen)/float64(m.window))))
 }
 
-// windowRate is the rate over the time constant, which is low before that has passed:
-// one event alone makes no high rate.
+// windowRate returns the rate without that correction, so it is too low until the time constant
+// has passed. A single event thus does not appear as a high rate.
 func (m *meter) windowRate(now time.Time) float64 {
 	m.decay(now)
 	return m.value / m.window.Seconds()
 }
 
-// meterOf returns the meter of a key, which measures over the time constant given.
-func meterOf(g *generationalMap[Block, meter], key Block, over time.Duration) *meter {
+// meterOf returns the meter of a key, with the given time constant.
+func meterOf(g *generationalMap[Block, meter], key Block, window time.Duration) *meter {
 	m := g.getOrCreate(key)
 	if m.window == 0 {
-		*m = newMeter(over)
+		*m = newMeter(window)
 	}
 	return m
 }
 
-// bucket is a token bucket whose rate may change at any time.
+// bucket is a token bucket whose rate may change between calls.
 type bucket struct {
 	level float64
 	at    time.Time
 }
 
-// refillTo adds what came in since the last call, up to a burst.
+// refillTo adds the tokens accrued since the last call, up to burst.
 func (b *bucket) refillTo(now time.Time, rate, burst float64) {
 	burst = math.Max(burst, 1)
 	if b.at.IsZero() {
--- a/route/parts.go
+++ b/route/parts.go
@@ -8,51 +8,51 @@
 	"github.com/zeebo/xxh3"
 )
 
-// PartChange is one change of the named parts that a target's cache holds.
+// PartChange is a change of one named part in a target's cache.
 type PartChange struct {
 	Salt string
 	ID   string
-	// Tokens is how much of the part is held now, zero once it is gone.
+	// Tokens is the cached length of the part, or zero after its eviction.
 	Tokens int
 }
 
-// partKey names a part under a salt.
+// partKey identifies a part under a salt.
 type partKey uint64
 
 func keyOfPart(salt, id string) partKey {
 	return partKey(xxh3.HashStringSeed(id, xxh3.HashString(salt)))
 }
 
-// heldParts is what a target's own events say that its cache holds.
+// heldParts holds the contents of a target's cache according to its own cache events.
 type heldParts struct {
 	tokens map[partKey]int
-	// at is when the events were last read; without that they are no news.
+	// at is when the events were last received. They are outdated if that is too long ago.
 	at time.Time
-	// relayed says that another router read them.
+	// relayed is set if another router received the events and forwarded them.
 	relayed bool
-	// only counts the tokens of shared parts that no other target holds.
+	// soleTokens is the length of the shared parts that no other target holds.
 	soleTokens int
 }
 
-// The times of a target's events about its cache.
+// Delays of a target's cache events.
 const (
-	// eventsValidFor is how long after the last reading events are relied on alone:
-	// readings are held for a second at most.
+	// eventsValidFor is how long after the last poll the events alone are relied on. A poll
+	// blocks for at most one second.
 	eventsValidFor = 3 * time.Second
-	// eventsLag is how long it may take until an event tells of what was sent. On
-	// the users' sites they are told up to 0.2 s late, after the prefill itself.
+	// eventsLag is the longest time from sending a request to receiving its cache events. At
+	// the users' sites events are sent up to 0.2 s after the end of the prefill.
 	eventsLag = 700 * time.Millisecond
-	// relayedLag is the same for events that another router passed on, which takes
-	// a pause of its reading and one between reports longer.
+	// relayedLag is the same for events that another router forwards, which adds one of its
+	// polling intervals and one interval between reports.
 	relayedLag = 1700 * time.Millisecond
 )
 
-// PartChanges takes a target's events in their order; anew says that they begin
-// with an empty cache, or after a gap, so that what was known before is dropped. Events of
-// another start than the target's incarnation names are not taken, and nothing that it held
-// is relied on any more: either they are of the start before, or the list does not tell of
-// the new one yet. ok is false then.
-func (b *Board) PartChanges(now time.Time, addr netip.AddrPort, start time.Time, anew bool, changes []PartChange) (ok bool) {
+// PartChanges processes a target's cache events in order. If reset is set, the events begin
+// with an empty cache or follow a gap, so the previous state is discarded. Events of another
+// start than the one that the target's incarnation names are ignored, and the target's known
+// cache contents are discarded: either the events are from the previous start, or the target
+// list does not show the new one yet. PartChanges returns false in this case.
+func (b *Board) PartChanges(now time.Time, addr netip.AddrPort, start time.Time, reset bool, changes []PartChange) (ok bool) {
 	t, ok := b.targets[addr]
 	if !ok || b.disabled.Has(CacheEvents) {
 		return true
@@ -62,7 +62,7 @@
 		b.dropParts(t)
 		return false
 	}
-	if anew || t.parts.tokens == nil {
+	if reset || t.parts.tokens == nil {
 		b.dropParts(t)
 		t.parts.tokens = make(map[partKey]int)
 	}
@@ -78,8 +78,8 @@
 	return true
 }
 
-// setPart notes how many tokens of a part a target holds. A shared part that nobody
-// holds any more is not counted as one until it is named again.
+// setPart records how many tokens of a part a target holds. A shared part without holders is no
+// longer counted as shared until it is named again.
 func (b *Board) setPart(t *target, key partKey, tokens int, shared bool) {
 	if shared {
 		b.adjustSoleTokens(key, -1)
@@ -97,14 +97,15 @@
 	}
 }
 
-// adjustSoleTokens adds a shared part to, or takes it from, what its only holder alone holds.
+// adjustSoleTokens adds a shared part to the soleTokens of its holder if it has only one, or
+// subtracts it, according to sign.
 func (b *Board) adjustSoleTokens(key partKey, sign int) {
 	if holders := b.partHolders[key]; len(holders) == 1 {
 		holders[0].parts.soleTokens += sign * holders[0].parts.tokens[key]
 	}
 }
 
-// dropParts forgets what a target's events said.
+// dropParts discards the state from a target's events.
 func (b *Board) dropParts(t *target) {
 	for key := range t.parts.tokens {
 		b.setPart(t, key, 0, b.shared.has(key))
@@ -113,7 +114,8 @@
 	t.parts = heldParts{}
 }
 
-// partIndex finds the targets that hold a part, for pools that are too large to look at each.
+// partIndex maps parts to the targets that hold them, for pools that are too large for checking
+// every member.
 type partIndex map[partKey][]*target
 
 func (x partIndex) add(key partKey, t *target) {
@@ -136,7 +138,7 @@
 	x[key] = list
 }
 
-// markHolders marks, for this round, some holders of a chain's last shared parts.
+// markHolders marks some holders of a chain's last shared parts in the current round.
 func (b *Board) markHolders(c *chain) {
 	for i := len(c.partKeys) - 2; i >= 0 && i >= len(c.partKeys)-1-partLevels; i-- {
 		list := b.partHolders[c.partKeys[i]]
@@ -146,19 +148,19 @@
 	}
 }
 
-// partLevels is how many of a prompt's last shared parts are looked up, and
-// holdersPerPart how many holders of each are candidates.
+// partLevels is the number of a prompt's last shared parts that are looked up, and
+// holdersPerPart the number of holders of each that become candidates.
 const (
 	partLevels     = 2
 	holdersPerPart = 4
 )
 
-// known reports whether the target's events are read.
+// known reports whether the target's events are received and current.
 func (h *heldParts) known(now time.Time) bool {
 	return h.tokens != nil && now.Sub(h.at) < eventsValidFor
 }
 
-// leadingTokens returns how many tokens of a chain's leading parts the target holds.
+// leadingTokens returns the length of the prefix of a chain that the target holds, in tokens.
 func (h *heldParts) leadingTokens(c *chain) int {
 	total := 0
 	for i, key := range c.partKeys {
@@ -175,7 +177,7 @@
 	return total
 }
 
-// Holds reports whether a target's events say that its cache holds a part under a salt.
+// Holds reports whether a target's cache holds a part under a salt, according to its events.
 func (b *Board) Holds(addr netip.AddrPort, salt, id string) bool {
 	t, ok := b.targets[addr]
 	return ok && t.parts.tokens[keyOfPart(salt, id)] > 0
--- a/route/place.go
+++ b/route/place.go
@@ -8,46 +8,49 @@
 	"time"
 )
 
-// heldPrefix is the deepest block a target was ever known to hold of a prompt, and how long ago.
+// heldPrefix is the longest prefix of a prompt that a target was ever known to hold, with the
+// age of that information.
 type heldPrefix struct {
 	tokens int
 	age    time.Duration
 }
 
-// candidate is a target that could take a request, with what is predicted of it.
+// candidate is a target that could serve a request, with the predictions for it.
 type candidate struct {
 	target  *target
 	weights string
 	chain   *chain
-	// trusted is the cached part of the prompt that is believed, in tokens;
-	// held is the deepest block ever known there.
+	// cachedTokens is the length of the prompt's prefix that is assumed to be cached. held is
+	// the longest prefix that was ever known to be cached.
 	cachedTokens int
-	// ready is the part of trusted that the target has read, in tokens, and unread the
-	// reading that the rest, or what is to be fetched, waits for; it is zero for none.
+	// readyTokens is the part of cachedTokens that is already computed. pending is the fill
+	// that the rest, or a fetch, has to wait for; it is zero if there is none.
 	readyTokens int
 	pending     pendingFill
 	held        heldPrefix
-	// rank orders equal candidates the same way on every router.
+	// rank orders candidates of equal cost in the same way on every router.
 	rank uint64
 	wait time.Duration
 	cost time.Duration
-	// imported is a kept prefix that is worth importing first, and transfer the time that takes.
+	// imported is a kept prefix that is worth importing first, and transfer the time that this
+	// takes.
 	imported Import
 	transfer time.Duration
-	// fetchFrom is a target that holds more of the prompt, and fetched how far, in tokens.
+	// fetchFrom is a target that holds a longer prefix of the prompt, and fetchTokens the
+	// length of that prefix.
 	fetchFrom   netip.AddrPort
 	fetchTokens int
-	// store is that target where it is a store of KV cache.
+	// store is that target if it is a KV cache store.
 	store *target
-	// far says that it stands in another failure domain.
+	// crossZone is set if that target is in another failure domain.
 	crossZone bool
-	// assumed says that what the candidate holds was not told by events.
+	// assumed is set if the cached prefix is inferred and not reported by cache events.
 	assumed bool
-	// extra is the cost of older weights, of failures and of distance.
+	// penalty is the additional cost of older weights, recent failures and distance.
 	penalty time.Duration
 }
 
-// uncached is the part of the prompt that the candidate would compute, in tokens.
+// uncached returns the number of prompt tokens that the candidate would have to compute.
 func (c *candidate) uncached(r *request) int {
 	have := max(c.cachedTokens, c.imported.Tokens, c.fetchTokens)
 	return r.promptTokens() - min(have, r.promptTokens())
@@ -57,8 +60,9 @@
 	slices.SortFunc(ts, func(a, b *target) int { return a.addr.Compare(b.addr) })
 }
 
-// maxFullScan is the pool size up to which every member is a candidate; of larger
-// pools only known holders, the first in rendezvous order and a random few are.
+// maxFullScan is the largest pool in which every member is a candidate. In larger pools the
+// candidates are known holders, the first rendezvousTop members in rendezvous order and
+// randomExtra random members.
 const (
 	maxFullScan   = 24
 	rendezvousTop = 4
@@ -66,9 +70,9 @@
 	retryPenalty  = 2 * time.Second
 )
 
-// choose places a request: it returns the best candidate that has room, and how
-// much more that one costs than the best of all, which may be full. It returns
-// nil if none has room.
+// choose places a request. It returns the best candidate that has capacity, and by how much its
+// cost exceeds that of the best candidate overall, which may be full. It returns nil if no
+// candidate has capacity.
 func (b *Board) choose(now time.Time, p *pool, r *request) (best *candidate, extra time.Duration) {
 	for _, r.side = range b.releaseSides(now, p, r) {
 		if best, extra = b.chooseOnSide(now, p, r); best != nil {
@@ -78,7 +82,7 @@
 	return best, extra
 }
 
-// chooseOnSide is choose among the targets on the request's side of a roll-out.
+// chooseOnSide is choose restricted to the targets on the request's side of a roll-out.
 func (b *Board) chooseOnSide(now time.Time, p *pool, r *request) (best *candidate, extra time.Duration) {
 	cs := b.candidates(now, p, r)
 	for {
@@ -86,44 +90,47 @@
 		if best == nil || b.withinLimit(now, best.target, r) {
 			return best, extra
 		}
-		// Waiting for one that is at its limit would not bring room there: others take the request.
+		// Waiting does not free capacity at a target that has reached its limit, so the request
+		// goes to another one.
 		full := best.target
 		cs = slices.DeleteFunc(cs, func(c candidate) bool { return c.target == full })
 	}
 }
 
-// bestOf is choose among some candidates, whose order it changes.
+// bestOf is choose restricted to the given candidates, which it reorders.
 func (b *Board) bestOf(cs []candidate, p *pool, r *request) (best *candidate, extra time.Duration) {
 	if len(cs) == 0 {
 		return nil, 0
 	}
 	least := cs[0].cost
-	room := 0
+	free := 0
 	for i := range cs {
 		least = min(least, cs[i].cost)
 		if b.hasCapacity(cs[i].target, p, r) {
-			cs[room], cs[i] = cs[i], cs[room]
-			room++
+			cs[free], cs[i] = cs[i], cs[free]
+			free++
 		}
 	}
-	if room == 0 {
+	if free == 0 {
 		return nil, 0
 	}
-	best = b.place(b.rng, cs[:room])
+	best = b.place(b.rng, cs[:free])
 	return best, best.cost - least
 }
 
-// maxPrefillWait is the longest wait, for prefills that all routers sent to an engine,
-// at which it gets one more request. What waits longer waits here, in its
-// organisation's queue, and keeps its choice. Each router keeps to its part by
-// what it sent itself: what peers sent is known too late to hold anything back.
+// maxPrefillWait bounds the pending prefill that all routers together keep at an engine before
+// they stop sending to it. Further requests wait in the router, in their organisation's queue,
+// where they can still go to any target. Each router bounds only the prefill that it sent
+// itself, as a share of the total, because the load of its peers is known too late to hold back
+// requests.
 const maxPrefillWait = 200 * time.Millisecond
 
-// windowFactor is the room that a target without a declared window has, as a
-// multiple of its slots: those and a queue half as long again.
+// windowFactor is the number of requests per slot that a target without a configured window may
+// have: one running and half a request queued.
 const windowFactor = 1.5
 
-// window is the number of requests that all routers together send to the target.
+// window returns the number of requests that all routers together may have in flight at the
+// target.
 func (t *target) window(p *pool) int {
 	if p.compiled.Window > 0 {
 		return p.compiled.Window
@@ -131,7 +138,7 @@
 	return int(windowFactor * float64(t.slots()))
 }
 
-// pendingPrefillLimit is the prefill that this router may have waiting at one engine.
+// pendingPrefillLimit returns the prefill that this router may have pending at one engine.
 func (b *Board) pendingPrefillLimit() time.Duration {
 	if b.maxPendingPrefill > 0 {
 		return b.maxPendingPrefill
@@ -139,17 +146,18 @@
 	return maxPrefillWait / time.Duration(b.routers)
 }
 
-// memoryFraction is the part of an engine's cache that running requests may take. With
-// all of it, what they share is displaced and read again, so that they run longer and
-// take yet more; with half, requests wait for room that their engine has. Measured in
+// memoryFraction is the fraction of an engine's cache that running requests may occupy. With a
+// fraction of 1, shared parts are evicted and computed again, so requests run longer and occupy
+// even more memory; with 0.5, requests wait although their engine has free memory. See
 // docs/design/measures.md.
 const memoryFraction = 0.7
 
-// hasMemory reports whether the engine can hold one more request beside what it keeps.
+// hasMemory reports whether the engine's memory has space for the request in addition to the
+// ones that are running.
 func (t *target) hasMemory(p *pool, r *request) bool {
-	most := memoryFraction * float64(p.compiled.CacheTokens)
+	limit := memoryFraction * float64(p.compiled.CacheTokens)
 	held := t.tokens + t.peerTokens
-	return most == 0 || held == 0 || float64(held+r.size()) <= most
+	return limit == 0 || held == 0 || float64(held+r.size()) <= limit
 }
 
 func (b *Board) hasCapacity(t *target, p *pool, r *request) bool {
@@ -157,11 +165,11 @@
 		return false
 	}
 	n := t.inFlight()
-	own := seconds(float64(t.prefill) / t.rate())
-	return len(t.attempts) == 0 || n < t.window(p) && own <= b.pendingPrefillLimit()
+	pending := seconds(float64(t.prefill) / t.rate())
+	return len(t.attempts) == 0 || n < t.window(p) && pending <= b.pendingPrefillLimit()
 }
 
-// candidates lists the targets that serve the request, with predictions.
+// candidates returns the targets that can serve the request, with their predicted costs.
 func (b *Board) candidates(now time.Time, p *pool, r *request) []candidate {
 	cs := b.scratch[:0]
 	if r.Model == nil {
@@ -183,9 +191,9 @@
 	})
 }
 
-// delayedRequests is the mean number of requests that wait for one target here or arrive
-// while its queue drains: each second of prefill that could have been spared is a second
-// that all of them wait, so the busier the pool, the more it costs.
+// delayedRequests returns the mean number of requests per target that are queued, or that
+// arrive while the target's queue drains. Each second of avoidable prefill delays all of them,
+// so the price of prefill grows with the load of the pool.
 func (b *Board) delayedRequests(now time.Time, p *pool, cs []candidate) float64 {
 	if len(cs) == 0 {
 		return 0
@@ -199,19 +207,21 @@
 	return fleet * (arriving + float64(p.queue.n))
 }
 
-// LabelZone is the label with a target's failure domain, and crossZoneRoundTrip what one in
-// another costs: a round trip between domains takes 2 to 3 ms on the users' sites.
+// LabelZone is the label that holds a target's failure domain. crossZoneRoundTrip is the cost
+// of a target in another failure domain; a round trip between failure domains takes 2 to 3 ms
+// at the users' sites.
 const (
 	LabelZone          = "zone"
 	crossZoneRoundTrip = 3 * time.Millisecond
 )
 
-// crossZoneByteCost is what a byte to or from another failure domain costs: by the users'
-// prices 100 KB cost as much as reading 1,000 tokens again, for which an engine takes
-// some 25 ms, whose price is as much again.
+// crossZoneByteCost is the cost of a byte sent to or from another failure domain. At the users'
+// prices 100 KB cost as much as prefilling 1,000 tokens. That takes an engine about 25 ms, and
+// its price is the same amount again.
 const crossZoneByteCost = 500 * time.Nanosecond
 
-// distanceCost prices a target in another failure domain for a request of some bytes.
+// distanceCost returns the cost of transferring bytes to or from a target, which is zero within
+// the router's failure domain.
 func (b *Board) distanceCost(t *target, bytes int) time.Duration {
 	if b.zone == "" || b.disabled.Has(Distance) || t.labels[LabelZone] == b.zone {
 		return 0
@@ -219,7 +229,8 @@
 	return time.Duration(bytes) * crossZoneByteCost
 }
 
-// serviceDistanceCost prices a target of a plain service, whose answers a round trip delays.
+// serviceDistanceCost returns the distance cost of a target of a service pool, which includes
+// the round trip that delays its answer.
 func (b *Board) serviceDistanceCost(t *target, r *request) time.Duration {
 	far := b.distanceCost(t, r.Bytes)
 	if far == 0 {
@@ -238,8 +249,8 @@
 	return cs
 }
 
-// engineCandidates lists the engines that serve the request's model; of a large
-// pool only those worth predicting for.
+// engineCandidates returns the engines that serve the request's model. In a large pool it
+// returns only those that are likely to be the best.
 func (b *Board) engineCandidates(cs []candidate, now time.Time, p *pool, r *request) []candidate {
 	b.loadTargets(now, p, r)
 	list := b.filterSide(now, p, r, b.withoutBackoff(now, b.servers(p, r)))
@@ -259,7 +270,8 @@
 	return cs
 }
 
-// applyPenalties drops candidates whose weights are too old and prices what speaks against the others.
+// applyPenalties removes candidates whose weights are too old, and sets the penalties of the
+// others.
 func (b *Board) applyPenalties(cs []candidate, now time.Time, r *request, list []server) []candidate {
 	kept := cs[:0]
 	prefers := b.prefersNewest(r, list)
@@ -279,7 +291,8 @@
 	return kept
 }
 
-// estimateCached fills in the ranks in a pool of n and what each candidate is known to hold.
+// estimateCached sets the rank of each candidate, in a pool of n members, and the prefix that
+// it is assumed to have cached.
 func (b *Board) estimateCached(cs []candidate, now time.Time, r *request, n int) {
 	for i := range cs {
 		c := &cs[i]
@@ -291,8 +304,8 @@
 			c.rank = r.homes.rank(n, c.target.hash)
 		}
 		if c.target.parts.known(now) {
-			held := c.target.parts.leadingTokens(c.chain)
-			c.cachedTokens, c.readyTokens = max(c.cachedTokens, held), max(c.readyTokens, held)
+			leading := c.target.parts.leadingTokens(c.chain)
+			c.cachedTokens, c.readyTokens = max(c.cachedTokens, leading), max(c.readyTokens, leading)
 		}
 		if r.ignorePendingFills {
 			c.cachedTokens = c.readyTokens
@@ -303,19 +316,19 @@
 	}
 }
 
-// lookUpHolders walks a chain from its deepest known block up until every candidate
-// with that chain has a block that is trusted.
+// lookUpHolders walks a chain from its deepest known block to the first one, until every
+// candidate with this chain has a computed block that is assumed to be cached.
 func (b *Board) lookUpHolders(cs []candidate, c *chain, now time.Time) {
 	b.round++
-	open := 0
+	unresolved := 0
 	for i := range cs {
 		if cs[i].chain == c {
 			cs[i].target.round, cs[i].target.candidate = b.round, i
-			open++
+			unresolved++
 		}
 	}
 	ms := now.UnixMilli()
-	for l := b.prefixes.deepest(c); l >= 0 && open > 0; l-- {
+	for l := b.prefixes.deepest(c); l >= 0 && unresolved > 0; l-- {
 		i := c.trackedBlocks[l]
 		e := b.prefixes.blocks.get(c.blocks[i])
 		if e == nil {
@@ -328,14 +341,14 @@
 			}
 			f, reading := b.pendingFillOf(now, h.slot, c.blocks[i])
 			if cs[t.candidate].observeBlock(now, c.tokens[i], time.Duration(ms-h.at)*time.Millisecond, f, reading) {
-				open--
+				unresolved--
 			}
 		}
 	}
 }
 
-// observeBlock takes a block known at the candidate, whose reading may be under way, and
-// reports whether it is the first trusted one that is read.
+// observeBlock records a block that is known at the candidate, and whose fill may be pending.
+// It reports whether this is the first block that is both assumed to be cached and computed.
 func (c *candidate) observeBlock(now time.Time, tokens int, age time.Duration, f pendingFill, reading bool) bool {
 	if c.held.tokens == 0 {
 		c.held = heldPrefix{tokens: tokens, age: age}
@@ -354,8 +367,8 @@
 	return true
 }
 
-// trusts reports whether a belief of this age is relied on: only while no event
-// can have told of it, where the target's events are read.
+// trusts reports whether an entry of this age is used. For a target whose cache events are
+// received, an entry is used only while its event may still be outstanding.
 func (t *target) trusts(now time.Time, age time.Duration) bool {
 	switch {
 	case t.parts.known(now) && t.parts.relayed:
@@ -366,7 +379,7 @@
 	return t.horizon.trusts(age)
 }
 
-// mixHash scrambles a number so that its bits can order targets.
+// mixHash is the 64-bit finalizer of MurmurHash3, which spreads the input over all bits.
 func mixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -375,13 +388,13 @@
 	return x ^ x>>33
 }
 
-// prefill is how long the candidate computes for the prompt.
+// prefill returns the predicted duration of the candidate's prefill.
 func (c *candidate) prefill(r *request) time.Duration {
 	return seconds(float64(c.uncached(r)) / c.target.rate())
 }
 
-// predict fills in the cost of a candidate whose wait is known; price is what a
-// second of prefill costs in seconds of waiting.
+// predict sets the cost of a candidate whose wait is known. Price is the cost of a second of
+// prefill in seconds of waiting.
 func (b *Board) predict(c *candidate, r *request, price float64) {
 	t := c.target
 	c.cost = c.penalty + c.timeToFirstToken(r) + seconds(c.prefill(r).Seconds()*price)
@@ -390,8 +403,8 @@
 	}
 }
 
-// queueWait predicts how long a new request waits at the target before its own
-// prefill. What peers told is taken to have gone on since.
+// queueWait predicts how long a new request waits at the target before its prefill begins.
+// Prefill that peers reported is assumed to have progressed since.
 func (t *target) queueWait(now time.Time) time.Duration {
 	pending := float64(t.prefill) + max(0, float64(t.peerPrefill)-now.Sub(t.peersAt).Seconds()*t.rate()) + t.peerSendPrefill(now)
 	wait := seconds(pending / t.rate())
@@ -405,7 +418,7 @@
 	return time.Duration(math.Min(s, maxHorizon.Seconds()) * float64(time.Second))
 }
 
-// reason explains a placement to operators.
+// reason describes the placement to operators.
 func (c *candidate) reason(r *request, n int) string {
 	text := fmt.Sprintf("predicted cost %s: wait %s, %d of %d prompt tokens believed cached, best of %d",
 		c.cost.Round(time.Microsecond), c.wait.Round(time.Microsecond), c.cachedTokens, r.promptTokens(), n)
--- a/route/placer.go
+++ b/route/placer.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Placer chooses among the candidates of a request; it may order the slice.
-// Each candidate's wait and cost are already predicted.
+// Placer selects one of the candidates of a request. It may reorder the slice. The wait and the
+// cost of each candidate are already predicted.
 type Placer func(rng *rand.Rand, cs []candidate) *candidate
 
-// Predict takes the candidate with the least predicted time to first token plus
-// the price of wasted prefill; near equals are ordered by rendezvous hashing.
+// Predict selects the candidate with the least predicted time to first token plus the price of
+// avoidable prefill. Rendezvous hashing decides between candidates of nearly equal cost.
 func Predict(_ *rand.Rand, cs []candidate) *candidate {
 	best := &cs[0]
 	for i := range cs[1:] {
@@ -25,13 +25,13 @@
 	return best
 }
 
-// tieWidth is the difference of cost that counts as none.
+// tieWidth is the largest difference in cost that counts as a tie.
 const tieWidth = time.Millisecond
 
-// Random takes any candidate; it is a baseline for measurements.
+// Random selects a random candidate. It is a baseline for measurements.
 func Random(rng *rand.Rand, cs []candidate) *candidate { return &cs[rng.IntN(len(cs))] }
 
-// RoundRobin takes the candidates in turn; it is a baseline for measurements.
+// RoundRobin selects the candidates in turn. It is a baseline for measurements.
 func RoundRobin() Placer {
 	n := -1
 	return func(_ *rand.Rand, cs []candidate) *candidate {
@@ -41,7 +41,8 @@
 	}
 }
 
-// LeastLoad takes the candidate with the fewest requests in flight; it is a baseline for measurements.
+// LeastLoad selects the candidate with the fewest requests in flight. It is a baseline for
+// measurements.
 func LeastLoad(rng *rand.Rand, cs []candidate) *candidate {
 	rng.Shuffle(len(cs), func(i, j int) { cs[i], cs[j] = cs[j], cs[i] })
 	return ref(cs, slices.MinFunc(cs, func(a, b candidate) int {
@@ -49,7 +50,8 @@
 	}))
 }
 
-// PrefixHash takes the first candidate in rendezvous order; it is a baseline for measurements.
+// PrefixHash selects the first candidate in rendezvous order. It is a baseline for
+// measurements.
 func PrefixHash(_ *rand.Rand, cs []candidate) *candidate {
 	return ref(cs, slices.MaxFunc(cs, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) }))
 }
@@ -63,7 +65,7 @@
 	panic("route: candidate is not in its slice")
 }
 
-// Placers returns the placement policies by the names that settings use.
+// Placers returns the placement policies by their names in settings.
 func Placers() map[string]Placer {
 	return map[string]Placer{
 		"predict":     Predict,
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -2,19 +2,19 @@
 
 import "github.com/zeebo/xxh3"
 
-// Block is the identity of one block of a prompt and of everything before it.
+// Block identifies a block of a prompt together with everything before it.
 //
-// It is the head of a hash chain seeded with a [Salt], so blocks of different
-// organisations, models, adapters or weights never have the same identity.
+// It is the head of a hash chain seeded with a [Salt], so blocks of different organisations,
+// models, adapters or weights never have the same identity.
 type Block uint64
 
-// Part is one named part of a prompt, with its length in tokens.
+// Part is a named part of a prompt, with its length in tokens.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Salt identifies who and what cached blocks belong to.
+// Salt identifies the owner and the model state that cached blocks belong to.
 type Salt struct {
 	Org     string
 	Model   string
@@ -22,10 +22,11 @@
 	Weights string
 }
 
-// fieldEnd separates the parts of a salt; names can't contain it.
+// fieldEnd separates the fields of a salt; names cannot contain it.
 const fieldEnd = "\x1f"
 
-// String renders the salt as it is sent to engines, without the organisation's name in clear.
+// String returns the salt as it is sent to engines: a hash, which does not reveal the
+// organisation's name.
 func (s Salt) String() string {
 	sum := xxh3.HashString128(s.Org + fieldEnd + s.Model + fieldEnd + s.Adapter + fieldEnd + s.Weights).Bytes()
 	const digits = "0123456789abcdef"
@@ -36,10 +37,11 @@
 	return string(out)
 }
 
-// Chain hashes the whole blocks of a prompt; size is in bytes, and a last part that fills no block is left out.
+// Chain hashes the full blocks of a prompt and returns every n-th one, where n is every. Size
+// is the block size in bytes; an incomplete last block is omitted.
 //
-// Engines that publish cache events in pathhead's form use the same chain over
-// 64-byte blocks, so that Chain with a larger multiple names every n-th of theirs.
+// Engines that publish cache events in pathhead's format use the same chain over 64-byte
+// blocks, so the blocks that Chain returns are among theirs.
 func Chain(salt string, text []byte, size, every int) []Block {
 	blocks := make([]Block, 0, len(text)/(size*every))
 	head := xxh3.HashString(salt)
@@ -53,17 +55,18 @@
 	return blocks
 }
 
-// BlockBytes is the size of an engine block in bytes, and BlockTokens in tokens of four bytes.
+// BlockBytes is the size of an engine block in bytes, and BlockTokens its size in tokens of
+// four bytes.
 const (
 	BlockBytes  = 64
 	BlockTokens = BlockBytes / bytesPerToken
-	// ChainEvery is how many engine blocks one block of the router's chain spans.
+	// ChainEvery is the number of engine blocks in one block of the router's chain.
 	ChainEvery = 4
 
 	bytesPerToken = 4
-	// chainTokens is the number of tokens that one block of the router's chain spans.
+	// chainTokens is the number of tokens in one block of the router's chain.
 	chainTokens = BlockTokens * ChainEvery
 )
 
-// Tokens estimates the tokens of a text from its length in bytes.
+// Tokens estimates the number of tokens in a text of n bytes.
 func Tokens(n int) int { return (n + bytesPerToken - 1) / bytesPerToken }
--- a/route/prefix_index.go
+++ b/route/prefix_index.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// holder says that a target was known to hold a block at a time.
+// holder is a target that was known to hold a block at a point in time.
 type holder struct {
 	slot uint32
 	at   int64
 }
 
-// holdersPerBlock bounds the targets remembered for one block: enough for a
-// prefix so hot that it spreads over a third of today's ten engines.
+// holdersPerBlock bounds the targets that are remembered for a block. It is enough for a hot
+// prefix that is spread over a third of ten engines.
 const holdersPerBlock = 4
 
-// blockEntry is what is known of one block.
+// blockEntry is what the index knows about one block.
 type blockEntry struct {
 	holders [holdersPerBlock]holder
-	// seen counts the requests whose prompt had the block.
+	// seen counts the requests whose prompt contained the block.
 	seen uint32
 }
 
-// addHolder notes a holder; the one not heard of for longest makes room.
+// addHolder records a holder, replacing the one that was confirmed least recently if the entry
+// is full.
 func (e *blockEntry) addHolder(slot uint32, at int64) {
 	oldest := 0
 	for i := range e.holders {
@@ -39,7 +40,7 @@
 	e.holders[oldest] = holder{slot: slot, at: at}
 }
 
-// removeHolder forgets a holder.
+// removeHolder removes a holder.
 func (e *blockEntry) removeHolder(slot uint32) {
 	for i := range e.holders {
 		if e.holders[i].slot == slot {
@@ -48,7 +49,8 @@
 	}
 }
 
-// generationalMap is a bounded map that forgets entries unused for a whole generation.
+// generationalMap is a bounded map that evicts the entries that were not used during a whole
+// generation.
 type generationalMap[K comparable, V any] struct {
 	size   int
 	recent map[K]*V
@@ -67,7 +69,8 @@
 	return g.old[k]
 }
 
-// getOrCreate returns an entry, made if there is none, and keeps it for another generation.
+// getOrCreate returns an entry, which it creates if there is none, and keeps it for another
+// generation.
 func (g *generationalMap[K, V]) getOrCreate(k K) *V {
 	if v, ok := g.recent[k]; ok {
 		return v
@@ -84,8 +87,8 @@
 	return v
 }
 
-// The spacing of the chain blocks that beliefs are kept for: every one at the
-// beginning, then fewer, which keeps a prompt of 32k tokens to some sixty entries.
+// Spacing of the tracked blocks of a chain: every block at the beginning, then fewer, which
+// limits a prompt of 32,000 tokens to about sixty entries.
 const (
 	denseBlocks  = 16
 	middleBlocks = 64
@@ -93,8 +96,8 @@
 	sparseEvery  = 16
 )
 
-// tracked reports whether beliefs are kept for the chain's i-th block. The ends of
-// messages are kept besides.
+// tracked reports whether the index has entries for the i-th block of a chain. Blocks that end
+// messages are tracked as well.
 func tracked(i int) bool {
 	switch {
 	case i < denseBlocks:
@@ -105,19 +108,19 @@
 	return i%sparseEvery == sparseEvery-1
 }
 
-// prefixIndex is what the router thinks the targets' caches hold.
+// prefixIndex holds the assumed contents of the targets' caches.
 type prefixIndex struct {
 	blocks *generationalMap[Block, blockEntry]
 }
 
-// maxIndexEntries bounds the entries of one generation, some 64 bytes each.
+// maxIndexEntries bounds the entries of one generation, each of which takes about 64 bytes.
 const maxIndexEntries = 1 << 16
 
 func newPrefixIndex() *prefixIndex {
 	return &prefixIndex{blocks: newGenerationalMap[Block, blockEntry](maxIndexEntries)}
 }
 
-// record notes that a target holds the first n blocks of a chain.
+// record records that a target holds the first n blocks of a chain.
 func (b *prefixIndex) record(c *chain, n int, slot uint32, at time.Time) {
 	ms := at.UnixMilli()
 	for _, i := range c.trackedBlocks {
@@ -128,7 +131,7 @@
 	}
 }
 
-// forget forgets that a target holds any block of a chain.
+// forget records that a target holds no block of a chain.
 func (b *prefixIndex) forget(c *chain, slot uint32) {
 	for _, i := range c.trackedBlocks {
 		if e := b.blocks.get(c.blocks[i]); e != nil {
@@ -137,7 +140,7 @@
 	}
 }
 
-// countRequest notes that a request had the chain, for the choice of an anchor.
+// countRequest counts a request that has the chain, for the choice of affinityBlock.
 func (b *prefixIndex) countRequest(c *chain) {
 	for _, i := range c.trackedBlocks {
 		e := b.blocks.get(c.blocks[i])
@@ -148,9 +151,9 @@
 	}
 }
 
-// deepest returns the position in the chain's levels of the deepest known block,
-// or -1. Known blocks are nearly always a leading run, so it is searched by
-// halves; message ends beyond the run are tried too, since peers tell of those alone.
+// deepest returns the position in trackedBlocks of the deepest known block, or -1. The known
+// blocks are nearly always a prefix of the chain, so it uses binary search. Message ends beyond
+// that prefix are checked as well, because peers report only those.
 func (b *prefixIndex) deepest(c *chain) int {
 	lo, hi := -1, len(c.trackedBlocks)
 	for lo+1 < hi {
@@ -162,12 +165,12 @@
 		}
 	}
 	for i := len(c.messageEnds) - 1; i >= 0; i-- {
-		at, ok := slices.BinarySearch(c.trackedBlocks, c.messageEnds[i])
-		if !ok || at <= lo {
+		level, ok := slices.BinarySearch(c.trackedBlocks, c.messageEnds[i])
+		if !ok || level <= lo {
 			break
 		}
-		if b.known(c, at) {
-			return at
+		if b.known(c, level) {
+			return level
 		}
 	}
 	return lo
@@ -177,9 +180,9 @@
 	return b.blocks.get(c.blocks[c.trackedBlocks[level]]) != nil
 }
 
-// affinityBlock returns the block whose hash orders the targets: the end of the last
-// message but one, where the prompt has messages, so that all routers agree
-// without talking; else the deepest block that two requests shared.
+// affinityBlock returns the block whose hash orders the targets. In a prompt with messages this
+// is the end of the last but one message, which all routers agree on without communication;
+// otherwise it is the deepest block that two requests had in common.
 func (b *prefixIndex) affinityBlock(c *chain) Block {
 	if n := len(c.messageEnds); n >= 2 && c.messageEnds[n-2] < len(c.blocks) {
 		return c.blocks[c.messageEnds[n-2]]
@@ -198,14 +201,14 @@
 	return best
 }
 
-// horizon is the learned age up to which a target still holds a block.
+// horizon is the estimated age up to which a target still holds a block.
 type horizon struct {
 	age time.Duration
-	// learned is false until an answer told something.
+	// learned is set after the first observation.
 	learned bool
 }
 
-// The bounds of a horizon, and how far one observation moves it.
+// Bounds of a horizon, and the fraction by which an observation moves it.
 const (
 	minHorizon  = 200 * time.Millisecond
 	maxHorizon  = 10 * time.Minute
@@ -214,10 +217,10 @@
 
 func newHorizon(base time.Duration) horizon { return horizon{age: base} }
 
-// trusts reports whether a block of this age is believed to be held.
+// trusts reports whether a block of this age is assumed to be cached.
 func (h *horizon) trusts(age time.Duration) bool { return age <= h.age }
 
-// hit notes that a block of this age was still held.
+// hit records that a block of this age was still cached.
 func (h *horizon) hit(age time.Duration) {
 	h.learned = true
 	if age > h.age/2 {
@@ -225,7 +228,7 @@
 	}
 }
 
-// miss notes that a block of this age had been evicted.
+// miss records that a block of this age had been evicted.
 func (h *horizon) miss(age time.Duration) {
 	h.learned = true
 	if age < h.age {
@@ -233,7 +236,7 @@
 	}
 }
 
-// recordFill notes what a peer told that a target's cache got.
+// recordFill records a block in a target's cache that a peer reported.
 func (b *Board) recordFill(now time.Time, t *target, f Fill) {
 	b.prefixes.blocks.getOrCreate(f.Block).addHolder(t.slot, now.Add(-f.Age).UnixMilli())
 }
@@ -245,10 +248,10 @@
 	Block   Block
 }
 
-// CacheEvents takes the events of one incarnation after a sequence number and
-// returns the last number taken. Events of another incarnation than the
-// present are ignored. Only blocks that some request had are noted: an engine
-// has many more, and a router could not hold them.
+// CacheEvents processes the cache events of an incarnation after a sequence number, and returns
+// the last number processed. Events of an incarnation other than the current one are ignored.
+// Only blocks that are already in the index are updated, because engines have far more blocks
+// than a router can store.
 func (b *Board) CacheEvents(now time.Time, addr netip.AddrPort, incarnation Incarnation, after int64, changes []CacheChange) int64 {
 	t, ok := b.targets[addr]
 	if !ok || incarnation != t.incarnation {
--- a/route/prompt.go
+++ b/route/prompt.go
@@ -1,12 +1,14 @@
 package route
 
-// Message is one message of a chat; Content is its text, or the JSON of parts that are not text.
+// Message is one message of a chat. Content is its text, or the JSON of the parts that are not
+// text.
 type Message struct {
 	Role    string
 	Content string
 }
 
-// ChatText joins messages into the text that a prefix chain runs over, and returns the offsets where they end.
+// ChatText joins messages into the text that the prefix chain is computed over, and returns the
+// offsets at which they end.
 func ChatText(messages []Message) (text []byte, bounds []int) {
 	n := 0
 	for _, m := range messages {
--- a/route/queue.go
+++ b/route/queue.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// fairQueue shares a pool's capacity between organisations by start-time fair
-// queueing: each organisation's requests are taken in order of a virtual time
-// that advances by cost divided by weight.
+// fairQueue divides a pool's capacity between organisations by start-time fair queueing. The
+// requests of each organisation are taken in the order of a virtual time that advances by cost
+// divided by weight.
 type fairQueue struct {
 	orgs  map[string]*orgQueue
 	vtime float64
@@ -16,7 +16,7 @@
 	seq   int64
 }
 
-// orgQueue is one organisation's waiting requests.
+// orgQueue holds the queued requests of one organisation.
 type orgQueue struct {
 	name   string
 	weight float64
@@ -25,7 +25,7 @@
 	items  requestHeap
 }
 
-// start is the virtual time at which the organisation's next request is due.
+// start returns the virtual start time of the organisation's next request.
 func (o *orgQueue) start(vtime float64) float64 { return max(vtime, o.finish) }
 
 func newFairQueue() *fairQueue {
@@ -55,7 +55,7 @@
 	q.n++
 }
 
-// remove takes a waiting request out of the queue.
+// remove removes a request from the queue.
 func (q *fairQueue) remove(r *request) {
 	o := q.orgs[r.Org]
 	heap.Remove(&o.items, r.index)
@@ -67,7 +67,8 @@
 	}
 }
 
-// charge advances virtual time by a request that is being sent; a retry is not charged again.
+// charge advances the virtual time for a request that is being sent. A retry is not charged
+// again.
 func (q *fairQueue) charge(r *request, weight float64) {
 	if r.charged {
 		return
@@ -79,7 +80,7 @@
 	o.finish = start + r.cost/weight
 }
 
-// next returns the organisations with waiting requests in the order they are due.
+// next returns the organisations with queued requests in order of virtual start time.
 func (q *fairQueue) next() []*orgQueue {
 	var out []*orgQueue
 	for _, o := range q.orgs {
@@ -104,7 +105,8 @@
 	return a.name < b.name
 }
 
-// share is the part of the pool that an organisation gets while the present ones wait.
+// share returns the fraction of the pool that an organisation receives while the present ones
+// have queued requests.
 func (q *fairQueue) share(org string, weight float64) float64 {
 	sum := weight
 	for name, o := range q.orgs {
@@ -115,7 +117,8 @@
 	return weight / sum
 }
 
-// wait estimates how long a new request of the organisation waits, given the pool's rate in cost per second.
+// wait estimates how long a new request of the organisation waits, given the pool's throughput
+// in cost per second.
 func (q *fairQueue) wait(org string, weight, rate float64) time.Duration {
 	o, ok := q.orgs[org]
 	if !ok || rate <= 0 || o.items.Len() == 0 {
@@ -124,7 +127,7 @@
 	return time.Duration(o.waiting() / (rate * q.share(org, weight)) * float64(time.Second))
 }
 
-// waiting is the cost of the requests that wait for room.
+// waiting returns the cost of the requests that wait for capacity.
 func (o *orgQueue) waiting() float64 {
 	cost := o.cost
 	for _, r := range o.items {
@@ -135,7 +138,7 @@
 	return cost
 }
 
-// requestHeap orders an organisation's requests by priority, then arrival.
+// requestHeap orders the requests of an organisation by priority, then by arrival.
 type requestHeap []*request
 
 func (h requestHeap) Len() int { return len(h) }
--- a/route/request.go
+++ b/route/request.go
@@ -10,51 +10,55 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Request is a checked request of a caller.
+// Request is a validated request of a caller.
 type Request struct {
 	ID  string
 	Org string
-	// Print is the same for all copies of the request; the zero one says that it is not known.
+	// Print is the request's fingerprint, which is equal for all copies of it. The zero value
+	// means unknown.
 	Print Fingerprint
-	// Revision is the configuration that the request was checked under.
+	// Revision is the revision of the configuration that validated the request.
 	Revision int64
 	Pool     string
 	Deadline time.Time
-	// Aim is the time from its arrival within which the answer is to begin; zero means that none is stated.
+	// Aim is the time after arrival within which the answer should begin; zero means that no
+	// aim is stated.
 	Aim time.Duration
-	// QueueTime bounds the wait for a target.
+	// QueueTime bounds the time in the queue.
 	QueueTime time.Duration
 	Priority  int
-	// Repeatable is false for a call that may run at most once.
+	// Repeatable is false for a call that must run at most once.
 	Repeatable bool
 
-	// Model is nil for a call to a plain service.
+	// Model is nil for a request to a service pool.
 	Model   *policy.Model
 	Adapter string
-	// Text is the prompt that the prefix chain runs over, Bounds the offsets in it where messages end.
+	// Text is the prompt that the prefix chain is computed over, and Bounds the offsets in it
+	// at which messages end.
 	Text      []byte
 	Bounds    []int
 	MaxTokens int
-	// Bytes is the size of the request and of the answer that is expected.
+	// Bytes is the size of the request plus the expected size of the answer.
 	Bytes int
-	// Parts is the prompt as a chain of named parts, in place of Text. The last
-	// belongs to the request itself or to its session.
+	// Parts is the prompt as a sequence of named parts, used in place of Text. The last part
+	// belongs to the request itself or to its session and is not shared.
 	Parts []Part
-	// SharesCache says that the request's cached parts may serve other organisations that say so too.
+	// SharesCache allows other organisations that also set it to use the cached parts of this
+	// request.
 	SharesCache bool
-	// MaxTries bounds the targets that the request is sent to; zero means the board's own bound.
+	// MaxTries bounds the attempts of the request; zero means maxTries.
 	MaxTries int
-	// Charge is what the request was charged of its organisation's limits before it came here.
+	// Charge is what was charged to the organisation's limits before the request arrived.
 	Charge Charge
-	// Streams says that the answer comes in parts, of which the first is seen.
+	// Streams is set if the answer is streamed, so that its first token can be observed.
 	Streams bool
-	// ResumeAnywhere says that a broken answer may go on under other weights.
+	// ResumeAnywhere allows resuming an interrupted answer under other weights.
 	ResumeAnywhere bool
-	// Resumable says that a broken answer may go on at another target.
+	// Resumable allows resuming an interrupted answer at another target.
 	Resumable bool
 }
 
-// Salt returns what the request's cached blocks are bound to under the given weights.
+// Salt returns the salt of the request's cached blocks under the given weights.
 func (r *Request) Salt(weights string) Salt {
 	org := r.Org
 	if r.SharesCache {
@@ -63,7 +67,7 @@
 	return Salt{Org: org, Model: r.Model.Name, Adapter: r.Adapter, Weights: weights}
 }
 
-// promptTokens estimates the prompt's length in tokens.
+// promptTokens estimates the length of the prompt in tokens.
 func (r *Request) promptTokens() int {
 	if len(r.Parts) == 0 {
 		return Tokens(len(r.Text))
@@ -75,7 +79,7 @@
 	return n
 }
 
-// Attempt is one sending of a request to one target.
+// Attempt is the sending of a request to one target.
 type Attempt struct {
 	ID          string
 	Request     string
@@ -83,39 +87,41 @@
 	Incarnation Incarnation
 	Weights     string
 	Salt        string
-	// Resume says that the answer goes on after what was delivered.
+	// Resume is set if the answer continues after the part that was delivered.
 	Resume bool
-	// Import is a kept prefix to import first; without tokens there is none.
+	// Import is the kept prefix to import first; there is none if its Tokens is zero.
 	Import Import
-	// Fetch is a target that holds more of the prompt, to fetch cached parts from; it is zero where there is none.
+	// Fetch is a target to fetch cached parts from, which holds a longer prefix of the prompt.
+	// It is zero if there is none.
 	Fetch netip.AddrPort
-	// Save is a store that the target sends the parts to which it reads; it is zero for none.
+	// Save is the store to which the target sends the parts that it computes. It is zero if
+	// there is none.
 	Save netip.AddrPort
-	// Number is the number of the attempt, from 1.
+	// Number counts the attempts of the request, starting at 1.
 	Number int
-	// Reason explains the placement to operators.
+	// Reason describes the placement to operators.
 	Reason string
 }
 
-// Action is what a board asks its shell to do.
+// Action is an instruction from the board to its caller.
 type Action interface{ isAction() }
 
-// Send asks to send an attempt to its target.
+// Send instructs to send an attempt to its target.
 type Send struct{ Attempt Attempt }
 
-// Refuse asks to give the caller the final answer that its request failed.
+// Refuse instructs to answer the caller with a final failure.
 type Refuse struct {
 	Request string
 	Refusal Refusal
 }
 
-// Cancel asks to end an attempt's connection.
+// Cancel instructs to close the connection of an attempt.
 type Cancel struct {
 	Request string
 	Attempt string
 }
 
-// Finish tells that a request ended with a whole answer.
+// Finish reports that a request ended with a complete answer.
 type Finish struct{ Request string }
 
 func (Send) isAction()   {}
@@ -123,10 +129,10 @@
 func (Cancel) isAction() {}
 func (Finish) isAction() {}
 
-// Cause says why a request was refused.
+// Cause is the reason for a refusal.
 type Cause int
 
-// The causes of a refusal.
+// Causes of a refusal.
 const (
 	CauseOverload Cause = iota
 	CauseLimit
@@ -142,7 +148,7 @@
 	CauseCrashes
 )
 
-// String returns the cause as callers see it.
+// String returns the cause as it is sent to callers.
 func (c Cause) String() string {
 	switch c {
 	case CauseOverload:
@@ -173,33 +179,35 @@
 	panic("route: unknown cause")
 }
 
-// Refusal is the final answer to a request that failed.
+// Refusal is the final answer to a failed request.
 type Refusal struct {
 	Cause   Cause
 	Verdict Verdict
-	// RetryAfter is when the caller should come back; zero means that it should not.
+	// RetryAfter is how long the caller should wait before it repeats the request; zero means
+	// that it should not repeat it.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// OutcomeKind says how an attempt ended.
+// OutcomeKind classifies the end of an attempt.
 type OutcomeKind int
 
-// The ends of an attempt.
+// Outcomes of an attempt.
 const (
-	// OutcomeUnsent means that no byte of the request left.
+	// OutcomeUnsent means that no byte of the request was sent.
 	OutcomeUnsent OutcomeKind = iota
 	// OutcomeRefused means that the target answered that it did not run the request.
 	OutcomeRefused
-	// OutcomeBroken means that bytes left and no whole answer came.
+	// OutcomeBroken means that bytes were sent but no complete answer was received.
 	OutcomeBroken
-	// OutcomeMismatch means that the answer is not from the expected incarnation, weights or attempt.
+	// OutcomeMismatch means that the answer comes from another incarnation, other weights or
+	// another attempt than expected.
 	OutcomeMismatch
-	// OutcomeDone means that the whole answer came.
+	// OutcomeDone means that the complete answer was received.
 	OutcomeDone
 )
 
-// String returns the kind's name for logs.
+// String returns the name of the kind for logs.
 func (k OutcomeKind) String() string {
 	switch k {
 	case OutcomeUnsent:
@@ -216,43 +224,44 @@
 	panic("route: unknown outcome")
 }
 
-// Outcome reports the end of an attempt.
+// Outcome describes the end of an attempt.
 type Outcome struct {
 	Request string
 	Attempt string
 	Kind    OutcomeKind
-	// Delivered says that part of the answer reached the caller.
+	// Delivered is set if a part of the answer reached the caller.
 	Delivered bool
-	// Usage is the engine's count of tokens, where it gave one.
+	// Usage holds the token counts that the engine reported, if any.
 	Usage *Usage
-	// Incarnation is what the target said it is, where it said so.
+	// Incarnation is the incarnation that the target reported, if any.
 	Incarnation Incarnation
-	// Closed says that the target ended the connection before its answer was whole.
+	// Closed is set if the target closed the connection before its answer was complete.
 	Closed bool
-	// Silent says that the target's machine gave no sign of life at all.
+	// Silent is set if the target's machine did not respond at all.
 	Silent bool
-	// TargetError says that the whole answer was a failure of the target's own.
+	// TargetError is set if the complete answer is an error of the target itself.
 	TargetError bool
 	Detail      string
 }
 
-// request is a request on the board.
+// request is the state of a queued or running request.
 type request struct {
 	Request
 	arrived time.Time
-	// notBefore holds a retry back.
+	// notBefore is the end of a retry's backoff.
 	notBefore     time.Time
 	queueDeadline time.Time
 	cost          float64
 	charged       bool
-	// estimated says that the limits were charged by the prompt and the bound of the answer.
+	// estimated is set if the limits were charged for the prompt and the maximum length of the
+	// answer.
 	estimated bool
 	seq       int64
 	index     int
 	tries     int
 	unsent    int
 	tried     map[netip.AddrPort]bool
-	// wants are the targets with a limit that it was to go to.
+	// wants are the targets with a limit that the request could have been sent to.
 	wants     map[netip.AddrPort]bool
 	verdict   Verdict
 	delivered bool
@@ -260,33 +269,34 @@
 	attempt   *attempt
 	chains    map[string]*chain
 	homes     homes
-	// held says that the request waits for what is being read, and not for room.
+	// awaitingFill is set while the request waits for a pending fill and not for capacity.
 	awaitingFill bool
-	// anew is set while the request is placed without what is still being read.
+	// ignorePendingFills is set while the request is placed as if pending fills did not exist.
 	ignorePendingFills bool
-	// draw is a number from 0 to 1 by which requests take different ways.
+	// sample is a random number between 0 and 1 that distributes requests, for instance over
+	// the releases of a roll-out.
 	sample float64
-	// recruited says that targets were taken from the reserve for it.
+	// recruited is set once targets were loaded from the target index for the request.
 	recruited bool
 	// side is the side of a roll-out on which the request is being placed.
 	side releaseSide
 }
 
-// chain is a request's prefix chain under one salt.
+// chain is the prefix chain of a request under one salt.
 type chain struct {
 	salt   string
 	blocks []Block
-	// bounds are the blocks at which messages end, levels those and the noted
-	// ones, in rising order.
+	// messageEnds are the indexes of the blocks that end messages. trackedBlocks are those and
+	// the indexes for which tracked is true, in ascending order.
 	messageEnds   []int
 	trackedBlocks []int
 	// tokens is the length of the prompt up to the end of each block.
 	tokens []int
-	// keys name the parts, where the prompt is a chain of named ones.
+	// partKeys identify the parts of a prompt of named parts.
 	partKeys []partKey
 }
 
-// newPartsChain chains named parts, each of which is a block of its own length.
+// newPartsChain returns the chain of named parts, each of which is one block.
 func newPartsChain(salt string, parts []Part) *chain {
 	c := &chain{salt: salt}
 	head := xxh3.HashString(salt)
@@ -320,7 +330,7 @@
 	return c
 }
 
-// chain returns the request's prefix chain under the given weights, computed once.
+// chain returns the prefix chain of the request under the given weights, computed on first use.
 func (r *request) chain(weights string) *chain {
 	if c, ok := r.chains[weights]; ok {
 		return c
@@ -339,7 +349,7 @@
 	return c
 }
 
-// size is the memory that the request may take of an engine, in tokens.
+// size returns the most cache memory that the request can occupy at an engine, in tokens.
 func (r *request) size() int {
 	if r.Model == nil {
 		return 0
@@ -347,32 +357,34 @@
 	return r.promptTokens() + r.MaxTokens
 }
 
-// newAttempt names the next attempt of the request.
+// newAttempt returns the ID of the request's next attempt.
 func (r *request) newAttempt() string {
 	r.tries++
 	return r.ID + "-" + strconv.Itoa(r.tries)
 }
 
-// attempt is an attempt on the board.
+// attempt is the state of a running attempt.
 type attempt struct {
 	Attempt
 	target *target
 	sent   time.Time
-	// uncached is the prompt's part that the target was expected to prefill, in tokens.
+	// uncached is the number of prompt tokens that the target was expected to prefill.
 	uncached int
-	// heldTokens and heldAge are what the target was believed to hold and how old that belief was.
+	// heldTokens is the longest prefix that the target was known to hold at placement, and
+	// heldAge the age of that information.
 	heldTokens int
 	heldAge    time.Duration
-	// first is true once the answer has begun, which was at firstTokenAt.
+	// firstToken is set once the answer has begun, at firstTokenAt.
 	firstToken   bool
 	firstTokenAt time.Time
-	// fills are the readings that the attempt began.
+	// fills are the pending fills that the attempt began.
 	fills   []fillKey
 	fetched bool
-	// limited says that it was charged to its target's limit.
+	// limited is set if the attempt was charged to its target's limit.
 	limited   bool
 	progress  time.Time
 	cancelled bool
-	// withdrawn says that it was cancelled for no fault of the target.
+	// withdrawn is set if the attempt was cancelled for a reason other than a fault of the
+	// target.
 	withdrawn bool
 }
--- a/route/retry.go
+++ b/route/retry.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// retryBudget bounds the retries to one pool. Without a stated reserve it is a
-// bucket that requests fill; with one, the retries of a sliding window are held
-// against its requests and this router's part of the reserve.
+// retryBudget limits the retries to one pool. If the configuration states no reserve, it is a
+// token bucket that is filled by requests. Otherwise the retries in a sliding window are
+// limited by the requests in the window and this router's share of the reserve.
 type retryBudget struct {
 	tokens float64
 
 	sent  window
 	spent window
-	// begun is when the counting began.
+	// begun is when counting began.
 	begun time.Time
 }
 
-// defaultRetryReserve is the number of retries that a pool may make at one
-// router beyond its share of requests, where the configuration states no reserve
-// for all routers; a pool that has seen no request yet starts with it.
+// defaultRetryReserve is the number of retries to a pool that a router may make in addition to
+// its share of the requests, if the configuration states no reserve for all routers. A pool
+// without requests starts with it.
 const defaultRetryReserve = 10
 
-// The parts of a stated bound that a router uses. ratioFraction leaves room for requests
-// that the installation counts elsewhere than here, reserveFraction for what the last
-// process of the same router spent, which this one does not know. A router's part of a
-// large fleet's reserve may be below one: each rounds up by a part that it draws at
-// its start, so that all together spend what they may.
+// Fractions of the configured bounds that a router uses. ratioFraction leaves a margin for
+// requests that the operator counts at another point than the router does. reserveFraction
+// leaves a margin for the retries of the router's previous process, which this one does not
+// know. In a large fleet a router's share of the reserve may be less than one retry, so each
+// router rounds up by a random fraction chosen at its start, which makes the total of all
+// routers correct on average.
 //
-// Until it has counted for a window a router uses only startupFraction of its part of the
-// reserve, and before minCountingFraction of a window nothing, since it may not know yet how many
-// share it; one whose settings name no other, and that heard of none, is alone. So at
-// most 1/minCountingFraction starts of a router spend startupFraction in one window, which is what
-// reserveFraction leaves, however often it is started anew. One that is alone may break
-// that with more starts.
+// Until it has counted for one window, a router uses only startupFraction of its share of the
+// reserve. Before minCountingFraction of a window it uses none of it, since it may not know yet
+// how many routers share the reserve; a router whose settings name no other router, and that
+// knows of none, does not have to wait. A router can thus spend startupFraction at most
+// 1/minCountingFraction times in one window, however often it restarts, which is within the
+// margin that reserveFraction leaves. A sole router can exceed this with more restarts.
 const (
 	reserveFraction     = 0.65
 	minCountingFraction = 0.25
@@ -46,88 +47,90 @@
 }
 
 // earnRetry counts a request that is sent for the first time.
-func (b *Board) earnRetry(now time.Time, k *retryBudget) {
+func (b *Board) earnRetry(now time.Time, budget *retryBudget) {
 	q := b.snap.Config.Requests
-	k.tokens = math.Min(k.tokens+q.RetryBudget, defaultRetryReserve)
-	k.sent.add(now, time.Duration(q.RetryWindow))
+	budget.tokens = math.Min(budget.tokens+q.RetryBudget, defaultRetryReserve)
+	budget.sent.add(now, time.Duration(q.RetryWindow))
 }
 
-// spendRetry takes one retry from a budget, if there is one.
-func (b *Board) spendRetry(now time.Time, k *retryBudget) bool {
+// spendRetry takes one retry from the budget and reports whether there was one.
+func (b *Board) spendRetry(now time.Time, budget *retryBudget) bool {
 	q := b.snap.Config.Requests
 	if q.RetryReserve == 0 {
-		if k.tokens < 1 {
+		if budget.tokens < 1 {
 			return false
 		}
-		k.tokens--
+		budget.tokens--
 		return true
 	}
-	over := time.Duration(q.RetryWindow)
-	part := 0.0
-	switch age := now.Sub(k.begun); {
-	case age >= over:
-		part = reserveFraction
-	case b.soleRouter && b.recentRouters.value == 1, float64(age) >= minCountingFraction*float64(over):
-		part = startupFraction
+	windowLength := time.Duration(q.RetryWindow)
+	fraction := 0.0
+	switch age := now.Sub(budget.begun); {
+	case age >= windowLength:
+		fraction = reserveFraction
+	case b.soleRouter && b.recentRouters.value == 1, float64(age) >= minCountingFraction*float64(windowLength):
+		fraction = startupFraction
 	}
-	most := ratioFraction*q.RetryBudget*float64(k.sent.count(now, over)) + part*q.RetryReserve/float64(b.recentRouters.value)
-	if float64(k.spent.count(now, over)+1) > most+b.reserveRounding {
+	limit := ratioFraction*q.RetryBudget*float64(budget.sent.count(now, windowLength)) + fraction*q.RetryReserve/float64(b.recentRouters.value)
+	if float64(budget.spent.count(now, windowLength)+1) > limit+b.reserveRounding {
 		return false
 	}
-	k.spent.add(now, over)
+	budget.spent.add(now, windowLength)
 	return true
 }
 
-// freeRetry reports whether sending again after an outcome costs no retry: a stated
-// bound counts what arrives at targets, and nothing arrived.
+// freeRetry reports whether a retry after this outcome is not charged. A configured reserve
+// counts the requests that arrive at targets, and this one did not arrive.
 func (b *Board) freeRetry(o Outcome) bool {
 	return o.Kind == OutcomeUnsent && b.snap.Config.Requests.RetryReserve > 0
 }
 
-// windowedMax is how many routers there were. Fewer count only once no more were seen for
-// a window: those that are gone may have spent their part in it, and a router that
-// was frozen or cut off has forgotten for a moment who else lives.
+// windowedMax is the largest number of routers seen recently. A lower number takes effect only
+// after no higher one was seen for a whole window: routers that disappeared may have spent
+// their share in it, and a router that was suspended or partitioned temporarily does not know
+// the others.
 type windowedMax struct {
 	value int
-	// fewer is the most that were seen since a time, all below most; zero if none were.
+	// lower is the largest of the numbers below value that were seen since the given time, or
+	// zero if there were none.
 	lower int
 	since time.Time
 }
 
-// RecentRouters returns how many routers there were lately, this one among them.
+// RecentRouters returns the number of routers seen recently, including this one.
 func (b *Board) RecentRouters() int { return b.recentRouters.value }
 
-// observe takes the number of routers known at a time.
-func (c *windowedMax) observe(now time.Time, n int, over time.Duration) {
+// observe records the number of routers that are currently known.
+func (c *windowedMax) observe(now time.Time, n int, windowLength time.Duration) {
 	switch {
 	case n >= c.value:
 		c.value, c.lower = n, 0
 	case c.lower == 0:
 		c.lower, c.since = n, now
-	case now.Sub(c.since) >= over:
+	case now.Sub(c.since) >= windowLength:
 		c.value, c.lower = max(c.lower, n), 0
 	default:
 		c.lower = max(c.lower, n)
 	}
 }
 
-// windowSlots is the resolution of a sliding window.
+// windowSlots is the number of slots of a sliding window.
 const windowSlots = 20
 
-// window counts events over a sliding time.
+// window counts events in a sliding time window.
 type window struct {
 	slots [windowSlots]int
-	// width is the length of one slot. Slots are numbered from begun, by the process's
-	// own clock: the time of day may be set forward or back.
+	// width is the duration of a slot. Slots are numbered from begun by the monotonic clock,
+	// because the wall clock may be set forward or back.
 	width time.Duration
 	begun time.Time
 	// at is the number of the newest slot.
 	at int64
 }
 
-func (w *window) slide(now time.Time, over time.Duration) {
-	if width := max(over, time.Second) / windowSlots; width != w.width {
-		// What was counted over another length counts as if it were new.
+func (w *window) slide(now time.Time, length time.Duration) {
+	if width := max(length, time.Second) / windowSlots; width != w.width {
+		// Events counted with another window length are counted as new.
 		n := w.sum()
 		*w = window{width: width, begun: now}
 		w.slots[0] = n
@@ -139,13 +142,13 @@
 	w.at = max(w.at, at)
 }
 
-func (w *window) add(now time.Time, over time.Duration) {
-	w.slide(now, over)
+func (w *window) add(now time.Time, length time.Duration) {
+	w.slide(now, length)
 	w.slots[w.at%windowSlots]++
 }
 
-func (w *window) count(now time.Time, over time.Duration) int {
-	w.slide(now, over)
+func (w *window) count(now time.Time, length time.Duration) int {
+	w.slide(now, length)
 	return w.sum()
 }
 
--- a/route/retry_test.go
+++ b/route/retry_test.go
@@ -104,20 +104,20 @@
 	const window = 10 * time.Second
 	now := time.Unix(1000, 0)
 	c := windowedMax{value: 1}
-	see := func(after time.Duration, n int) int {
+	observe := func(after time.Duration, n int) int {
 		now = now.Add(after)
 		c.observe(now, n, window)
 		return c.value
 	}
-	require.Equal(t, 8, see(0, 8))
-	require.Equal(t, 8, see(time.Second, 3), "five fell silent")
-	require.Equal(t, 8, see(window-time.Second, 5))
-	require.Equal(t, 5, see(time.Second, 4), "for a window nobody saw more than five")
-	require.Equal(t, 9, see(time.Second, 9))
-	require.Equal(t, 9, see(time.Second, 2))
-	require.Equal(t, 9, see(time.Second, 9), "a moment in which few were known is over")
-	require.Equal(t, 9, see(window, 2), "a router that was frozen knows nobody when it wakes")
-	require.Equal(t, 9, see(window/2, 9))
+	require.Equal(t, 8, observe(0, 8))
+	require.Equal(t, 8, observe(time.Second, 3), "five fell silent")
+	require.Equal(t, 8, observe(window-time.Second, 5))
+	require.Equal(t, 5, observe(time.Second, 4), "for a window nobody saw more than five")
+	require.Equal(t, 9, observe(time.Second, 9))
+	require.Equal(t, 9, observe(time.Second, 2))
+	require.Equal(t, 9, observe(time.Second, 9), "a moment in which few were known is over")
+	require.Equal(t, 9, observe(window, 2), "a router that was frozen knows nobody when it wakes")
+	require.Equal(t, 9, observe(window/2, 9))
 }
 
 // Routers whose part of the reserve is less than one spend it together all the same.
--- a/route/stream.go
+++ b/route/stream.go
@@ -2,48 +2,49 @@
 
 import "github.com/zeebo/errs/v2"
 
-// Chunk is one part of an engine's answer.
+// Chunk is one chunk of an engine's streamed answer.
 type Chunk struct {
-	// Attempt and Seq number the chunk from 1; Seq is 0 where the engine numbers nothing.
+	// Attempt is the chunk's attempt and Seq its sequence number, starting at 1. Seq is 0 if
+	// the engine does not number chunks.
 	Attempt string
 	Seq     int
-	// Data is the chunk's JSON as it came, Text the answer text in it.
+	// Data is the received JSON of the chunk, and Text the answer text in it.
 	Data []byte
 	Text string
-	// Finish marks the answer's last text, Reason says why it ended.
+	// Finish marks the end of the answer's text, and Reason is why it ended.
 	Finish bool
 	Reason string
 	Usage  *Usage
-	// Done marks the end of the stream, which carries no data.
+	// Done marks the end of the stream; such a chunk has no data.
 	Done bool
 }
 
-// Usage counts the tokens of an answer.
+// Usage holds the token counts of an answer.
 type Usage struct {
 	Prompt     int
 	Completion int
 	Cached     int
 }
 
-// maxBuffered bounds the chunks held while an earlier one is missing.
+// maxBuffered bounds the chunks that are buffered while an earlier one is missing.
 const maxBuffered = 32
 
-// The ways a stream can break.
+// Errors of an incomplete or invalid stream.
 var (
 	ErrGap        = errs.Tag("chunks are missing")
-	ErrUnfinished = errs.Tag("the stream ended without its finish mark")
-	ErrExtra      = errs.Tag("data after the finish mark")
+	ErrUnfinished = errs.Tag("the stream ended before the finish chunk")
+	ErrExtra      = errs.Tag("data after the finish chunk")
 )
 
-// Stream puts the chunks of one attempt in order and decides whether the answer is whole.
+// Stream orders the chunks of one attempt and determines whether the answer is complete.
 //
-// Chunks of other attempts and repeated chunks are dropped and counted; chunks
-// that come early are held until the missing ones arrive.
+// Chunks of other attempts and duplicates are dropped and counted. Chunks that arrive early are
+// buffered until the missing ones arrive.
 type Stream struct {
 	attempt  string
 	next     int
 	buffered map[int]Chunk
-	// numbered is settled by the first chunk; an engine that numbers nothing relies on TCP for order.
+	// numbered is determined by the first chunk. The order of unnumbered chunks relies on TCP.
 	numbered bool
 	begun    bool
 	finished bool
@@ -53,12 +54,12 @@
 	texts    int
 }
 
-// NewStream returns the checker of an attempt's answer.
+// NewStream returns a Stream for the answer to an attempt.
 func NewStream(attempt string) *Stream {
 	return &Stream{attempt: attempt, next: 1, buffered: make(map[int]Chunk)}
 }
 
-// Accept takes the next chunk from the connection and returns those that are now in order.
+// Accept takes the next received chunk and returns the chunks that are now in order.
 func (s *Stream) Accept(c Chunk) ([]Chunk, error) {
 	if c.Done {
 		return nil, s.end()
@@ -85,7 +86,7 @@
 	return s.flush()
 }
 
-// flush delivers the held chunks that follow without a gap.
+// flush delivers the buffered chunks up to the next gap.
 func (s *Stream) flush() (out []Chunk, err error) {
 	for {
 		c, ok := s.buffered[s.next]
@@ -114,7 +115,7 @@
 	return append(out, c), nil
 }
 
-// end checks at the end mark that nothing is missing.
+// end checks at the end of the stream that nothing is missing.
 func (s *Stream) end() error {
 	switch {
 	case len(s.buffered) > 0:
@@ -122,17 +123,18 @@
 	case !s.finished:
 		return ErrUnfinished.Errorf("after %d chunks", s.next-1)
 	case s.numbered && s.usage == nil:
-		return ErrUnfinished.Errorf("the usage record is missing")
+		return ErrUnfinished.Errorf("the usage chunk is missing")
 	}
 	s.complete = true
 	return nil
 }
 
-// Complete reports whether the answer arrived complete and in order.
+// Complete reports whether the answer was received completely and in order.
 func (s *Stream) Complete() bool { return s.complete }
 
-// Usage returns the engine's count of tokens, or nil if it gave none.
+// Usage returns the token counts that the engine reported, or nil if there are none.
 func (s *Stream) Usage() *Usage { return s.usage }
 
-// Dropped returns how many chunks were dropped as repeated or not this attempt's.
+// Dropped returns the number of chunks that were dropped as duplicates or as belonging to
+// another attempt.
 func (s *Stream) Dropped() int { return s.dropped }
--- a/route/wait.go
+++ b/route/wait.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// A request waits here while no target has room. Where its route states an aim, it
-// waits as long as its answer can still begin in time, by what answers took lately:
-// serving one that is late already would make others late, and a refusal tells its
-// caller when there will be room. Where no aim is stated, it waits for its queue time.
+// Requests are queued while no target has capacity. A request with an aim stays queued as long
+// as its answer can still begin in time, judged by recent answers: serving a late request would
+// delay others beyond their aims, and a refusal tells the caller when to retry. A request
+// without an aim stays queued for its QueueTime.
 
-// firstTokenStats are the means of how long answers took lately to begin after they were
-// sent, and of the least that they could have taken.
+// firstTokenStats holds moving averages of how long recent answers took to begin after they
+// were sent, and of the minimum that they could have taken.
 type firstTokenStats struct{ actual, minimum time.Duration }
 
-// firstTokenSmoothing is the part that one answer has in the means.
+// firstTokenSmoothing is the weight of a new value in the moving averages.
 const firstTokenSmoothing = 0.1
 
 func (f *firstTokenStats) add(took, least time.Duration) {
@@ -23,7 +23,7 @@
 	f.minimum += time.Duration(firstTokenSmoothing * float64(least-f.minimum))
 }
 
-// factor is how many times their least answers take.
+// factor returns the ratio of the actual to the minimum times.
 func (f firstTokenStats) factor() float64 {
 	if f.minimum <= 0 {
 		return 1
@@ -31,7 +31,7 @@
 	return max(1, float64(f.actual)/float64(f.minimum))
 }
 
-// maxQueueTime is how long after its arrival a request may wait for room.
+// maxQueueTime returns how long after its arrival a request may wait for capacity.
 func (b *Board) maxQueueTime(r *request) time.Duration {
 	if r.Aim == 0 {
 		return min(r.QueueTime, r.Deadline.Sub(r.arrived))
@@ -39,8 +39,8 @@
 	return max(0, min(r.Aim, r.Deadline.Sub(r.arrived))-b.pools[r.Pool].expectedFirstToken(r))
 }
 
-// expectedFirstToken is how long the request's answer takes to begin once it is sent, by
-// what answers of the pool took lately.
+// expectedFirstToken predicts the time from sending the request to the beginning of its answer,
+// from recent answers of the pool.
 func (p *pool) expectedFirstToken(r *request) time.Duration {
 	if len(p.members) == 0 {
 		return 0
@@ -51,7 +51,7 @@
 	return time.Duration(float64(p.minFirstToken(r)) * p.firstTokens.factor())
 }
 
-// minFirstToken is how long an engine of the pool reads at least before it answers the request.
+// minFirstToken returns the minimum prefill time of the request at an engine of the pool.
 func (p *pool) minFirstToken(r *request) time.Duration {
 	if len(p.members) == 0 {
 		return seconds(float64(r.minPrefill()) / defaultPrefillRate)
@@ -59,13 +59,13 @@
 	return p.members[0].minFirstToken(r)
 }
 
-// minFirstToken is how long the target reads at least before it answers the request.
+// minFirstToken returns the minimum prefill time of the request at the target.
 func (t *target) minFirstToken(r *request) time.Duration {
 	return seconds(float64(r.minPrefill()) / t.rate())
 }
 
-// minPrefill is what an engine reads of the prompt at least, in tokens: what no
-// other prompt shares.
+// minPrefill returns the number of prompt tokens that an engine has to compute at least, which
+// are those that no other prompt shares.
 func (r *request) minPrefill() int {
 	if n := len(r.Parts); n > 0 {
 		return r.Parts[n-1].Tokens
@@ -73,9 +73,9 @@
 	return r.promptTokens()
 }
 
-// retryQueueDeadline is until when a request waits for room that is to be sent again. One
-// whose answer has begun waits as long as its caller does: to break it off would cost
-// what was delivered too.
+// retryQueueDeadline returns until when a request that is to be retried may wait for capacity.
+// If its answer has begun, it waits until its deadline, because giving up would also waste the
+// part that was delivered.
 func (b *Board) retryQueueDeadline(now time.Time, r *request) time.Time {
 	if r.Aim == 0 {
 		return now.Add(min(r.QueueTime, r.Deadline.Sub(now)))
@@ -83,19 +83,20 @@
 	if r.delivered {
 		return r.Deadline
 	}
-	again := now.Add(fillRecheckInterval)
-	if inTime := r.arrived.Add(b.maxQueueTime(r)); inTime.After(again) {
-		return inTime
+	recheck := now.Add(fillRecheckInterval)
+	if latest := r.arrived.Add(b.maxQueueTime(r)); latest.After(recheck) {
+		return latest
 	}
-	return again
+	return recheck
 }
 
-// extendQueueDeadline lets the request wait until a time at least.
+// extendQueueDeadline sets the queue deadline to the given time if it is earlier.
 func (r *request) extendQueueDeadline(until time.Time) {
 	if until.After(r.queueDeadline) {
 		r.queueDeadline = until
 	}
 }
 
-// fillRecheckInterval is how soon a request is looked at again that waits for what is being read.
+// fillRecheckInterval is the time after which a request that waits for a pending fill is
+// checked again.
 const fillRecheckInterval = 50 * time.Millisecond
--- a/route/world_test.go
+++ b/route/world_test.go
@@ -195,16 +195,16 @@
 }
 
 // end lets an attempt end in a way; it runs at the target where that way means so.
-func (w *world) end(a Attempt, k OutcomeKind, runs, delivered bool) {
+func (w *world) end(a Attempt, kind OutcomeKind, runs, delivered bool) {
 	f := w.target(a.Target)
 	if runs && f != nil {
 		w.ran[a.Request]++
 	}
-	o := Outcome{Request: a.Request, Attempt: a.ID, Kind: k, Delivered: delivered}
+	o := Outcome{Request: a.Request, Attempt: a.ID, Kind: kind, Delivered: delivered}
 	if f != nil {
 		o.Incarnation = Incarnation(f.id())
 	}
-	if k == OutcomeDone {
+	if kind == OutcomeDone {
 		o.Usage = &Usage{Prompt: 100, Completion: 4, Cached: 10}
 	}
 	w.execute(w.board.Ended(w.now, o))
