--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// benchBoard is a board at the size of the letter: 750 targets, 2,400
-// organisations, 16 models, prompts of 32k tokens in four messages.
+// benchBoard returns a board of the size that the users state: 750 targets, 2,400
+// organisations, 16 models, and prompts of 32,000 tokens in four messages.
 func benchBoard(b *testing.B, targets, orgs int) (*Board, []Request) {
 	b.Helper()
 	const models, promptTokens = 16, 32000
@@ -58,7 +58,7 @@
 	return board, requests
 }
 
-// BenchmarkPlace measures one placement, with the prefix chain computed before.
+// BenchmarkPlace measures one placement without the computation of the prefix chain.
 func BenchmarkPlace(b *testing.B) {
 	for _, targets := range []int{10, 100, 750} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// BenchmarkRequest measures all a board does for one request, the prefix chain included.
+// BenchmarkRequest measures all work of a board for one request, including the prefix chain.
 func BenchmarkRequest(b *testing.B) {
 	board, requests := benchBoard(b, 750, 2400)
 	warm(board, requests)
@@ -113,7 +113,7 @@
 	}
 }
 
-// BenchmarkChain measures the hashing of a prompt of 32k tokens.
+// BenchmarkChain measures the hashing of a prompt of 32,000 tokens.
 func BenchmarkChain(b *testing.B) {
 	text := []byte(strings.Repeat("x", 128<<10))
 	b.SetBytes(int64(len(text)))
@@ -122,7 +122,7 @@
 	}
 }
 
-// BenchmarkPeers measures taking one round of gossip.
+// BenchmarkPeers measures the merging of one round of gossip.
 func BenchmarkPeers(b *testing.B) {
 	board, requests := benchBoard(b, 750, 2400)
 	warm(board, requests)
--- a/route/board_test.go
+++ b/route/board_test.go
@@ -12,8 +12,8 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// TestBoardFuzz drives a board with every kind of message in any order, late,
-// repeated and crossed, and checks promises against what the fakes saw.
+// TestBoardFuzz drives a board with all kinds of events in any order, including late, repeated
+// and reordered ones, and checks its guarantees against what the fake targets observed.
 func TestBoardFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt, 3, 2, testSetup{rate: 50, inFlight: 8, trust: true})
@@ -96,10 +96,10 @@
 			"restart": func(*rapid.T) {
 				f := target()
 				f.incarnation++
-				f.leaving = false
+				f.draining = false
 			},
-			"leave":       func(*rapid.T) { target().leaving = true },
-			"list leaves": func(*rapid.T) { f := target(); f.listLeaving = !f.listLeaving },
+			"leave":       func(*rapid.T) { target().draining = true },
+			"list leaves": func(*rapid.T) { f := target(); f.listDraining = !f.listDraining },
 			"weights": func(rt *rapid.T) {
 				target().weights = rapid.SampledFrom([]string{"w1", "w2", ""}).Draw(rt, "weights")
 			},
@@ -122,14 +122,14 @@
 	})
 }
 
-// checkSend is the oracle of one sending: not to an incarnation that the board
-// was told is leaving, and with the salt of its own organisation and weights.
+// checkSend checks that an attempt was not sent to an incarnation that the board knows to be
+// draining, and that it has the salt of its organisation and weights.
 func (w *world) checkSend(a Attempt) error {
-	if w.announcedLeaving[string(a.Incarnation)] {
-		return fmt.Errorf("attempt %s went to %s, which is leaving", a.ID, a.Incarnation)
+	if w.announcedDraining[string(a.Incarnation)] {
+		return fmt.Errorf("attempt %s was sent to %s, which is draining", a.ID, a.Incarnation)
 	}
-	if w.target(a.Target).listed {
-		return fmt.Errorf("attempt %s went to %s, which the list has leaving", a.ID, a.Incarnation)
+	if w.target(a.Target).listedDraining {
+		return fmt.Errorf("attempt %s was sent to %s, which is draining in the list", a.ID, a.Incarnation)
 	}
 	r := w.asked[a.Request]
 	if r.Model == nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// drain lets everything end and checks that nothing is left over.
+// drain completes all requests and checks that no state is left over.
 func (w *world) drain(t require.TestingT) {
 	for i := 0; len(w.inFlight) > 0 && i < 1000; i++ {
 		w.end(w.takeInFlight(0), OutcomeDone, true, true)
@@ -149,13 +149,13 @@
 	w.now = w.now.Add(time.Minute)
 	w.execute(w.board.Tick(w.now))
 	require.NoError(t, w.check())
-	require.Zero(t, w.board.Requests(), "no request is left")
+	require.Zero(t, w.board.Requests(), "all requests have ended")
 	for id := range w.asked {
 		require.LessOrEqual(t, len(w.ends[id]), 1)
 	}
 	for _, target := range w.board.targets {
 		require.Empty(t, target.attempts)
-		require.Zero(t, target.prefill, "no expected prefill is left")
+		require.Zero(t, target.prefill, "no pending prefill remains")
 	}
 	for name, o := range w.board.orgs {
 		require.Zero(t, o.inFlight, "organisation %s has nothing in flight", name)
@@ -174,16 +174,16 @@
 		verdict    Verdict
 		sends      int
 	}{
-		"unsent goes elsewhere":                   {repeatable: false, outcomes: []OutcomeKind{OutcomeUnsent, OutcomeDone}, sends: 2},
-		"trusted refusal goes elsewhere":          {trust: true, outcomes: []OutcomeKind{OutcomeRefused, OutcomeDone}, sends: 2},
-		"untrusted refusal may have run":          {outcomes: []OutcomeKind{OutcomeRefused}, refused: true, verdict: MayHaveRun, sends: 1},
-		"broken once-only call may have run":      {trust: true, outcomes: []OutcomeKind{OutcomeBroken}, refused: true, verdict: MayHaveRun, sends: 1},
-		"mismatched once-only call may have run":  {trust: true, outcomes: []OutcomeKind{OutcomeMismatch}, refused: true, verdict: MayHaveRun, sends: 1},
-		"broken repeatable call goes elsewhere":   {repeatable: true, outcomes: []OutcomeKind{OutcomeBroken, OutcomeDone}, sends: 2},
-		"refused everywhere did not run":          {trust: true, outcomes: []OutcomeKind{OutcomeRefused, OutcomeRefused, OutcomeRefused, OutcomeRefused, OutcomeRefused}, refused: true, verdict: NotRun, sends: 5},
-		"a verdict never goes back":               {trust: true, repeatable: true, outcomes: []OutcomeKind{OutcomeBroken, OutcomeUnsent, OutcomeUnsent, OutcomeUnsent, OutcomeUnsent}, refused: true, verdict: MayHaveRun, sends: 5},
-		"may have run before a trusted refusal":   {trust: true, repeatable: true, outcomes: []OutcomeKind{OutcomeBroken, OutcomeRefused, OutcomeRefused, OutcomeRefused, OutcomeRefused}, refused: true, verdict: MayHaveRun, sends: 5},
-		"an answer ends it, whatever came before": {repeatable: true, outcomes: []OutcomeKind{OutcomeMismatch, OutcomeDone}, sends: 2},
+		"unsent goes elsewhere":                                    {repeatable: false, outcomes: []OutcomeKind{OutcomeUnsent, OutcomeDone}, sends: 2},
+		"trusted refusal goes elsewhere":                           {trust: true, outcomes: []OutcomeKind{OutcomeRefused, OutcomeDone}, sends: 2},
+		"untrusted refusal may have run":                           {outcomes: []OutcomeKind{OutcomeRefused}, refused: true, verdict: MayHaveRun, sends: 1},
+		"broken once-only call may have run":                       {trust: true, outcomes: []OutcomeKind{OutcomeBroken}, refused: true, verdict: MayHaveRun, sends: 1},
+		"mismatched once-only call may have run":                   {trust: true, outcomes: []OutcomeKind{OutcomeMismatch}, refused: true, verdict: MayHaveRun, sends: 1},
+		"broken repeatable call goes elsewhere":                    {repeatable: true, outcomes: []OutcomeKind{OutcomeBroken, OutcomeDone}, sends: 2},
+		"refused everywhere did not run":                           {trust: true, outcomes: []OutcomeKind{OutcomeRefused, OutcomeRefused, OutcomeRefused, OutcomeRefused, OutcomeRefused}, refused: true, verdict: NotRun, sends: 5},
+		"a verdict is never weakened":                              {trust: true, repeatable: true, outcomes: []OutcomeKind{OutcomeBroken, OutcomeUnsent, OutcomeUnsent, OutcomeUnsent, OutcomeUnsent}, refused: true, verdict: MayHaveRun, sends: 5},
+		"may have run before a trusted refusal":                    {trust: true, repeatable: true, outcomes: []OutcomeKind{OutcomeBroken, OutcomeRefused, OutcomeRefused, OutcomeRefused, OutcomeRefused}, refused: true, verdict: MayHaveRun, sends: 5},
+		"an answer ends the request whatever the earlier outcomes": {repeatable: true, outcomes: []OutcomeKind{OutcomeMismatch, OutcomeDone}, sends: 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -243,7 +243,7 @@
 			if c.refused {
 				return
 			}
-			require.Equal(t, !c.queued, len(w.inFlight) == 1, "an answer goes on only under the weights it began with")
+			require.Equal(t, !c.queued, len(w.inFlight) == 1, "an answer is resumed only under the weights with which it began")
 			if !c.queued {
 				require.True(t, w.inFlight[0].Resume)
 			}
@@ -261,7 +261,7 @@
 
 	w.request("b", text, false, true)
 	second := w.takeInFlight(0)
-	require.Equal(t, first.Target, second.Target, "the prefix is where it was")
+	require.Equal(t, first.Target, second.Target, "the target that holds the prefix is chosen")
 	require.NotContains(t, second.Reason, " 0 of ")
 	w.end(second, OutcomeDone, true, true)
 
@@ -277,9 +277,9 @@
 	for range 6 {
 		w.request("b", text, false, true)
 	}
-	require.Len(t, w.inFlight, 1, "the first fills a cache, the others wait for it")
+	require.Len(t, w.inFlight, 1, "the first request fills a cache and the others wait for it")
 	for i := range 6 {
-		require.Equal(t, w.inFlight[0].Target, w.inFlight[i].Target, "and follow it to the same engine")
+		require.Equal(t, w.inFlight[0].Target, w.inFlight[i].Target, "the others are sent to the same engine")
 		w.now = w.now.Add(300 * time.Millisecond)
 		w.execute(w.board.FirstToken(w.now, w.inFlight[i].Request, w.inFlight[i].ID))
 	}
@@ -300,23 +300,23 @@
 	for _, a := range w.inFlight {
 		targets[string(a.Incarnation)] = true
 	}
-	require.Len(t, targets, 3, "until they have waited for longer than another engine costs")
+	require.Len(t, targets, 3, "requests spread once they have waited for longer than another engine costs")
 }
 
-func TestBoardLeavingMarkFromPeer(t *testing.T) {
+func TestBoardDrainingFromPeer(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{})
-	leaving := w.targets[0]
+	draining := w.targets[0]
 	w.execute(w.board.MergePeers(w.now, map[string]PeerState{
-		"other": {Leaving: []TargetKey{{Target: leaving.addr, Incarnation: Incarnation(leaving.id())}}},
+		"other": {Leaving: []TargetKey{{Target: draining.addr, Incarnation: Incarnation(draining.id())}}},
 	}, 2))
 	for range 4 {
 		w.request("b", "z", false, true)
 	}
 	for _, a := range w.inFlight {
-		require.NotEqual(t, leaving.addr, a.Target)
+		require.NotEqual(t, draining.addr, a.Target)
 	}
 	w.reportList()
-	require.Len(t, w.board.DrainingTargets(), 1, "the list that still shows it does not undo the mark")
+	require.Len(t, w.board.DrainingTargets(), 1, "a list that still contains the target does not cancel its draining")
 	require.True(t, w.hasEvent(event.TargetLeaving))
 }
 
@@ -334,22 +334,22 @@
 		reportAfterMark bool
 		leaving         bool
 	}{
-		"old one heard after the list's word": {reportAfterMark: true},
-		"list's word came after the old one":  {leaving: true},
+		"old incarnation reports after the list shows draining":       {reportAfterMark: true},
+		"list shows draining after the old incarnation's last report": {leaving: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1, 0, testSetup{})
 			f := w.targets[0]
 			w.now = w.now.Add(time.Second)
-			f.listLeaving = true
+			f.listDraining = true
 			w.reportList()
 			w.now = w.now.Add(time.Second)
 			if c.reportAfterMark {
 				w.report(f)
 			}
 			f.incarnation++
-			f.listLeaving = false
+			f.listDraining = false
 			w.reportList()
 			w.report(f)
 			w.request("b", "x", false, true)
@@ -366,13 +366,13 @@
 	require.Equal(t, NotRun, refuse.Refusal.Verdict)
 }
 
-func TestBoardQueueMovesWhenTargetLeaves(t *testing.T) {
+func TestBoardQueueMovesWhenTargetDrains(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{window: 1})
 	for range 4 {
 		w.request("b", "z", false, true)
 	}
 	require.Len(t, w.inFlight, 2)
-	w.targets[0].leaving = true
+	w.targets[0].draining = true
 	w.report(w.targets[0])
 	before := len(w.inFlight)
 	for len(w.inFlight) > 0 {
@@ -381,7 +381,7 @@
 			before = 0
 		}
 		for _, a := range w.inFlight[before:] {
-			require.Equal(t, w.targets[1].addr, a.Target, "queued requests go to the one that stays")
+			require.Equal(t, w.targets[1].addr, a.Target, "queued requests are sent to the remaining target")
 		}
 	}
 	require.Zero(t, w.board.Requests())
--- a/route/distance_test.go
+++ b/route/distance_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// setZones puts the engines of a board into failure domains.
+// setZones sets the failure domains of the engines.
 func (p *partsBoard) setZones(zones ...string) {
 	for i, zone := range zones {
 		p.b.targets[testAddr(i)].labels = map[string]string{"s": "e", LabelZone: zone}
 	}
 }
 
-// TestDistancePlaces checks that of engines that hold the same the one in the
-// router's failure domain is taken, as long as it is no busier than the bytes cost.
+// TestDistancePlaces checks that, of engines with equal cache contents, the one in the router's
+// failure domain is chosen unless its extra load costs more than the transferred bytes.
 func TestDistancePlaces(t *testing.T) {
 	for i := range 8 {
 		f := newFillBoard(t, 4)
@@ -24,15 +24,15 @@
 		f.setZones("far", "far", "near", "far")
 		r := f.request("a", Part{fmt.Sprint("p", i), 500})
 		r.Bytes = 10_000
-		require.Equal(t, testAddr(2), f.place(r).Target, "whatever the order of the engines for the prompt")
+		require.Equal(t, testAddr(2), f.place(r).Target, "independent of the rendezvous order for the prompt")
 		next := f.request("a", Part{"next", 500})
 		next.Bytes = 10_000
-		require.NotEqual(t, testAddr(2), f.place(next).Target, "10 ms of reading are more than 5 ms of bytes")
+		require.NotEqual(t, testAddr(2), f.place(next).Target, "10 ms of prefill cost more than 5 ms of transferred bytes")
 	}
 }
 
-// TestDistanceFetches checks that a copy comes from the engine's own failure domain
-// where one there holds as much, and is predicted to take twice as long from another.
+// TestDistanceFetches checks that a fetch uses a source in the engine's own failure domain if
+// that holds as much, and is predicted to take twice as long from another domain.
 func TestDistanceFetches(t *testing.T) {
 	f := newFillBoard(t, 3)
 	f.setZones("x", "y", "x")
--- a/route/feed_test.go
+++ b/route/feed_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Who follows a feed from any version on has its values, also when it falls so far
-// behind that changes are forgotten.
+// TestFeed checks that a reader that follows a feed from any version has its current values,
+// even if it falls so far behind that changes were discarded.
 func TestFeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFeed[int](func(a, b int) bool { return a == b })
--- a/route/fill_test.go
+++ b/route/fill_test.go
@@ -7,22 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPlacementReport checks that a request with much to read is told of at once, with
-// the router's whole load at its target, and one with little is not.
+// TestPlacementReport checks that a request with a long prefill is reported immediately, with
+// the router's whole load at its target, and that one with a short prefill is not.
 func TestPlacementReport(t *testing.T) {
-	var told []PlacementReport
-	f := newPartsBoard(t, 1, WithPlaced(func(p PlacementReport) { told = append(told, p) }))
+	var reports []PlacementReport
+	f := newPartsBoard(t, 1, WithPlaced(func(p PlacementReport) { reports = append(reports, p) }))
 	f.b.pools["e"].compiled.CacheReaders = 1
 	f.place(f.request("a", Part{"little", minReportedPrefill - 1}))
-	require.Empty(t, told)
+	require.Empty(t, reports)
 	f.place(f.request("a", append(shared, own)...))
-	require.Len(t, told, 1)
-	require.Equal(t, 2, told[0].Load.InFlight)
-	require.Equal(t, f.b.targets[testAddr(0)].prefill, told[0].Load.Prefill)
-	require.Len(t, told[0].Fills, len(shared), "a part of its own is of no use to others")
+	require.Len(t, reports, 1)
+	require.Equal(t, 2, reports[0].Load.InFlight)
+	require.Equal(t, f.b.targets[testAddr(0)].prefill, reports[0].Load.Prefill)
+	require.Len(t, reports[0].Fills, len(shared), "the unshared part is not reported")
 }
 
-// newFillBoard returns a board whose engines' events are read and say that they hold nothing.
+// newFillBoard returns a board whose engines have reported empty caches by events.
 func newFillBoard(t require.TestingT, engines int) *partsBoard {
 	f := newPartsBoard(t, engines)
 	f.b.pools["e"].compiled.CacheReaders = 1
@@ -32,7 +32,7 @@
 	return f
 }
 
-// requestWithAim is a request that is to be answered in time.
+// requestWithAim returns a request with an aim.
 func (p *partsBoard) requestWithAim(aim time.Duration, parts ...Part) Request {
 	r := p.request("a", parts...)
 	r.Aim = aim
@@ -49,31 +49,31 @@
 	return out
 }
 
-// TestAwaitsPendingFill checks that a request waits while what it shares is read for
-// another one, and goes as soon as that is done.
+// TestAwaitsPendingFill checks that a request waits while its shared parts are computed for
+// another request, and is sent as soon as they are ready.
 func TestAwaitsPendingFill(t *testing.T) {
 	f := newFillBoard(t, 3)
 	first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
 	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
 	require.Nil(t, f.place(second))
 	other := f.place(f.requestWithAim(time.Second, Part{"cc", 3000}, Part{"own3", 500}))
-	require.NotNil(t, other, "one that shares nothing with it does not wait")
+	require.NotNil(t, other, "a request without shared parts does not wait")
 	f.now = f.now.Add(40 * time.Millisecond)
 	require.Empty(t, f.sentTargets(f.b.Tick(f.now)))
 	f.now = f.now.Add(60 * time.Millisecond)
 	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.FirstToken(f.now, first.Request, first.ID)))
 }
 
-// TestAwaitsPendingFillWithinAim checks that a request does not wait for what is read for
-// another one if only reading it again lets it be in time.
+// TestAwaitsPendingFillWithinAim checks that a request does not wait for a pending fill if only
+// computing the parts again lets its answer begin in time.
 func TestAwaitsPendingFillWithinAim(t *testing.T) {
 	f := newFillBoard(t, 3)
 	f.place(f.requestWithAim(time.Second, append(shared, Part{"long", 10_000})...))
 	require.NotNil(t, f.place(f.requestWithAim(200*time.Millisecond, append(shared, own)...)))
 }
 
-// TestAwaitsOverdueFill checks that a request does not wait for a reading that takes
-// over twice as long as was predicted, nor for one that has failed.
+// TestAwaitsOverdueFill checks that a request does not wait for a fill that takes more than
+// twice as long as predicted, or that has failed.
 func TestAwaitsOverdueFill(t *testing.T) {
 	cases := map[string]func(f *partsBoard, first *Attempt) []Action{
 		"overdue": func(f *partsBoard, _ *Attempt) []Action {
@@ -95,24 +95,24 @@
 	}
 }
 
-// TestAwaitsPeerFill checks that a request waits for what a peer's request has read,
-// until that is taken to be done.
+// TestAwaitsPeerFill checks that a request waits for a pending fill that a peer reported until
+// its expected end.
 func TestAwaitsPeerFill(t *testing.T) {
 	f, peer := newFillBoard(t, 3), newFillBoard(t, 3)
-	var told []PlacementReport
-	WithPlaced(func(p PlacementReport) { told = append(told, p) })(peer.b)
+	var reports []PlacementReport
+	WithPlaced(func(p PlacementReport) { reports = append(reports, p) })(peer.b)
 	peer.place(peer.requestWithAim(time.Second, append(shared, own)...))
-	f.b.MergeFills(f.now, told[0].Fills)
+	f.b.MergeFills(f.now, reports[0].Fills)
 	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
 	require.Nil(t, f.place(second))
-	f.now = f.now.Add(told[0].Fills[0].Left + time.Millisecond)
+	f.now = f.now.Add(reports[0].Fills[0].Left + time.Millisecond)
 	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.Tick(f.now)))
 	f.b.MergePeers(f.now, nil, 1)
-	require.Empty(t, f.b.pendingFills, "what is over is forgotten")
+	require.Empty(t, f.b.pendingFills, "expired fills are removed")
 }
 
-// TestAwaitsCanceledFill checks that nothing is sent of a request whose caller left while it
-// waited for what is being read.
+// TestAwaitsCanceledFill checks that a request whose caller disconnected while it waited for a
+// pending fill is not sent.
 func TestAwaitsCanceledFill(t *testing.T) {
 	f := newFillBoard(t, 3)
 	first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
--- a/route/fingerprint_test.go
+++ b/route/fingerprint_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Copies of a request have one fingerprint, and nothing else has it, also where two
-// requests are the same text differently divided.
+// TestFingerprint checks that copies of a request have the same fingerprint and different
+// requests have different ones, including requests whose concatenated fields are equal.
 func TestFingerprint(t *testing.T) {
 	of := FingerprintOf("org", "POST", "host", "/path", []byte("body"))
 	require.Equal(t, of, FingerprintOf("org", "POST", "host", "/path", []byte("body")))
 	require.True(t, of.Known())
 	require.False(t, Fingerprint{}.Known())
 	for name, other := range map[string]Fingerprint{
-		"another organisation": FingerprintOf("org2", "POST", "host", "/path", []byte("body")),
-		"another method":       FingerprintOf("org", "PUT", "host", "/path", []byte("body")),
-		"another host":         FingerprintOf("org", "POST", "host2", "/path", []byte("body")),
-		"another path":         FingerprintOf("org", "POST", "host", "/path2", []byte("body")),
-		"another body":         FingerprintOf("org", "POST", "host", "/path", []byte("body2")),
-		"a border moved":       FingerprintOf("or", "gPOST", "host", "/path", []byte("body")),
-		"path into body":       FingerprintOf("org", "POST", "host", "/pat", []byte("hbody")),
+		"another organisation":   FingerprintOf("org2", "POST", "host", "/path", []byte("body")),
+		"another method":         FingerprintOf("org", "PUT", "host", "/path", []byte("body")),
+		"another host":           FingerprintOf("org", "POST", "host2", "/path", []byte("body")),
+		"another path":           FingerprintOf("org", "POST", "host", "/path2", []byte("body")),
+		"another body":           FingerprintOf("org", "POST", "host", "/path", []byte("body2")),
+		"a field boundary moved": FingerprintOf("or", "gPOST", "host", "/path", []byte("body")),
+		"path into body":         FingerprintOf("org", "POST", "host", "/pat", []byte("hbody")),
 	} {
 		require.NotEqual(t, of, other, name)
 	}
--- a/route/parts_test.go
+++ b/route/parts_test.go
@@ -12,8 +12,8 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// partsBoard is a board before engines that take prompts as chains of named
-// parts, with a store of KV cache beside them.
+// partsBoard is a board with engines whose prompts are sequences of named parts, and a KV cache
+// store.
 type partsBoard struct {
 	t    require.TestingT
 	b    *Board
@@ -21,17 +21,20 @@
 	next int
 }
 
-// The engines' memory and links in tokens and tokens per second.
+// Memory of an engine in tokens, and rates of the links of engines and stores in tokens per
+// second.
 const (
 	partsMemory = 40000
 	partsLink   = 1e6
 	storeLink   = 1e5
 )
 
-// testBeginLimit is how long after newer weights were named requests begin on older ones.
+// testBeginLimit is how long requests may begin on older weights after newer ones were
+// announced.
 const testBeginLimit = 9300 * time.Millisecond
 
-// testGuessTime is how long a guess of a target's weights goes before its reports.
+// testGuessTime is how long an assumption about a target's weights takes precedence over its
+// reports.
 const testGuessTime = 3 * time.Second
 
 func newPartsBoard(t require.TestingT, engines int, opts ...Option) *partsBoard {
@@ -66,7 +69,8 @@
 	return p
 }
 
-// announceWeights tells the board that weights were named now; until now the former ones were the newest.
+// announceWeights announces new weights to the board. The previous ones were the newest until
+// now.
 func (p *partsBoard) announceWeights(weights string) {
 	if before := p.b.NewestWeights("m"); before != "" {
 		p.b.AddNewestSpan(p.now, NewestAt(p.now, p.now, "m", before))
@@ -82,7 +86,7 @@
 	})
 }
 
-// reportParts says by an event that an engine holds parts under the salt of a request.
+// reportParts reports by a cache event that an engine holds parts under a salt.
 func (p *partsBoard) reportParts(addr netip.AddrPort, salt string, parts ...Part) {
 	var changes []PartChange
 	for _, part := range parts {
@@ -101,7 +105,7 @@
 	}
 }
 
-// place places a request and returns the attempt, or nil if it waits or was refused.
+// place submits a request and returns its attempt, or nil if it was queued or refused.
 func (p *partsBoard) place(r Request) *Attempt {
 	for _, a := range p.b.Arrive(p.now, r) {
 		if s, ok := a.(Send); ok && s.Attempt.Request == r.ID {
@@ -120,7 +124,8 @@
 	own    = Part{"own", 500}
 )
 
-// A request goes where its parts are held, and an event that they are gone ends that.
+// TestPartsFollowEvents checks that a request is sent to the engine whose events report its
+// parts, until an event reports their eviction.
 func TestPartsFollowEvents(t *testing.T) {
 	p := newPartsBoard(t, 4)
 	first := p.place(p.request("a", append(shared, own)...))
@@ -132,8 +137,8 @@
 	}
 	p.reportParts(testAddr(2), first.Salt, shared...)
 	next := p.place(p.request("b", append(shared, Part{"other", 500})...))
-	require.Equal(t, testAddr(2), next.Target, "what events tell goes before what was sent long ago")
-	require.Equal(t, first.Salt, next.Salt, "both organisations share")
+	require.Equal(t, testAddr(2), next.Target, "cache events take precedence over old requests")
+	require.Equal(t, first.Salt, next.Salt, "both organisations share their cache")
 	p.finish(next)
 	walled := p.place(p.request("walled", append(shared, own)...))
 	require.NotEqual(t, first.Salt, walled.Salt)
@@ -141,17 +146,18 @@
 	p.now = p.now.Add(time.Second)
 	p.reportParts(testAddr(2), first.Salt, Part{"bb", 0})
 	c := newPartsChain(first.Salt, append(shared, own))
-	require.Equal(t, 2000, p.b.targets[testAddr(2)].parts.leadingTokens(c), "parts before the lost one stay")
+	require.Equal(t, 2000, p.b.targets[testAddr(2)].parts.leadingTokens(c), "parts before the evicted one remain")
 }
 
-// A busy holder's parts are fetched by another engine, under the same salt alone.
+// TestPartsFetch checks that another engine fetches the parts of a busy holder, under the same
+// salt.
 func TestPartsFetch(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	salt := p.request("a", shared...).saltOf("1")
 	p.reportParts(testAddr(0), salt, shared...)
 	p.reportParts(testAddr(1), salt)
 	for i := 0; ; i++ {
-		require.Less(t, i, 200, "the holder was never left")
+		require.Less(t, i, 200, "all requests were sent to the holder")
 		a := p.place(p.request("a", append(shared, Part{fmt.Sprint("own", i), 2000})...))
 		if a == nil {
 			return // memory is full before the other engine is worth it
@@ -166,8 +172,8 @@
 
 func (r Request) saltOf(weights string) string { return r.Salt(weights).String() }
 
-// The store is fetched from where no engine holds the parts, and saved to where
-// they are read anew, within the bound of its link.
+// TestPartsStore checks that parts that no engine holds are fetched from the store, that newly
+// computed parts are saved to it, and that the use of its link is bounded.
 func TestPartsStore(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	salt := p.request("a", shared...).saltOf("1")
@@ -175,7 +181,7 @@
 	p.reportParts(testAddr(0), salt)
 	p.reportParts(testAddr(1), salt)
 	cold := p.place(p.request("a", append(shared, own)...))
-	require.Equal(t, storeTestAddr, cold.Save, "newly read shared parts are saved")
+	require.Equal(t, storeTestAddr, cold.Save, "newly computed shared parts are saved")
 	require.False(t, cold.Fetch.IsValid())
 	p.finish(cold)
 	p.now = p.now.Add(3 * time.Second)
@@ -184,7 +190,7 @@
 	p.b.PartChanges(p.now, storeTestAddr, time.Time{}, false, []PartChange{{salt, "aa", 2000}, {salt, "bb", 4000}})
 	again := p.place(p.request("a", append(shared, Part{"own2", 500})...))
 	require.Equal(t, storeTestAddr, again.Fetch)
-	require.False(t, again.Save.IsValid(), "the store has them")
+	require.False(t, again.Save.IsValid(), "the store already holds the parts")
 	moved := 0
 	for i := range 200 {
 		kept := Part{fmt.Sprint("kept", i), 6000}
@@ -197,13 +203,12 @@
 		}
 	}
 	require.Positive(t, moved)
-	require.LessOrEqual(t, float64(moved), 2*storeLink, "its link is bounded")
+	require.LessOrEqual(t, float64(moved), 2*storeLink, "the use of the link is bounded")
 }
 
-// An installation with two stores has twice the room and twice the link: prompts are
-// saved to either, each to one of them, and fetched from the one that holds them. The
-// load is that of engines whose own caches hold what they read for some seconds only,
-// so that most shared parts are read anew.
+// TestPartsTwoStores checks that two stores provide twice the capacity and twice the link rate:
+// each prompt is saved to one of them and fetched from the one that holds it. The engines' own
+// caches hold their contents for only a few seconds, so most shared parts are computed again.
 func TestPartsTwoStores(t *testing.T) {
 	second := testAddr(998)
 	p := newPartsBoard(t, 2)
@@ -232,7 +237,7 @@
 		if a.Save.IsValid() {
 			saved[a.Save] += 6500
 			if home, ok := homes[part]; ok {
-				require.Equal(t, home, a.Save, "one home for each part")
+				require.Equal(t, home, a.Save, "each part has one home")
 			}
 			homes[part] = a.Save
 		}
@@ -240,7 +245,7 @@
 		p.now = p.now.Add(200 * time.Millisecond)
 	}
 	for _, addr := range stores {
-		// 200,000 tokens of room, for parts that are wanted for 10 s: 20,000 a second.
+		// 200,000 tokens of capacity for parts that are used within 10 s: 20,000 per second.
 		require.Greater(t, saved[addr], 80_000)
 		require.LessOrEqual(t, saved[addr], 20*20_000+26_500)
 	}
@@ -256,9 +261,9 @@
 	}
 }
 
-// A store's room goes to prompts that are shared for the most part: where engines read
-// far more anew than the store can take, it gets more that serves others for the same
-// room than if each prompt in turn were saved.
+// TestSavesPreferSharedParts checks that a store's capacity is used for prompts that are mostly
+// shared. If engines compute far more than the store can hold, it then serves more requests
+// with the same capacity than if every prompt were saved in turn.
 func TestSavesPreferSharedParts(t *testing.T) {
 	p := newPartsBoard(t, 1)
 	shares, room := 0, 0
@@ -276,13 +281,14 @@
 		p.now = p.now.Add(every)
 	}
 	t.Logf("%d of %d tokens saved are shared", shares, room)
-	// 200,000 tokens in 10 s for 60 s, and the burst.
-	require.InDelta(t, 1_200_000, room, 150_000, "the room is used, and no more of it")
-	// In turn it would be 12 of 19.8 thousand.
+	// 200,000 tokens per 10 s for 60 s, and the burst.
+	require.InDelta(t, 1_200_000, room, 150_000, "the capacity is used and not exceeded")
+	// Saving in turn would yield 12,000 of 19,800.
 	require.Greater(t, float64(shares)/float64(room), 0.85)
 }
 
-// Running requests leave three tenths of an engine's memory to what is shared.
+// TestPartsMemory checks that running requests leave three tenths of an engine's memory for
+// shared parts.
 func TestPartsMemory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := newPartsBoard(rt, 2)
@@ -296,14 +302,14 @@
 			before := held[a.Target]
 			held[a.Target] += size + 10
 			if before > 0 && held[a.Target] > partsMemory*7/10 {
-				rt.Fatalf("%d tokens run at %s", held[a.Target], a.Target)
+				rt.Fatalf("requests with %d tokens run at %s", held[a.Target], a.Target)
 			}
 		}
 	})
 }
 
-// Older weights are as good at first, then dearer, and unused past the limit,
-// which counts from the first naming that replaced them.
+// TestStaleWeights checks that older weights are used freely at first, then at a penalty, and
+// not at all beyond the limit, which counts from the first announcement that replaced them.
 func TestStaleWeights(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	p.announceWeights("2")
@@ -312,7 +318,7 @@
 	p.announceWeights("3")
 	for i := range 5 {
 		a := p.place(p.request("a", Part{fmt.Sprint("n", i), 1000}))
-		require.Equal(t, testAddr(1), a.Target, "newer weights go first")
+		require.Equal(t, testAddr(1), a.Target, "newer weights are preferred")
 		require.Equal(t, "2", a.Weights)
 		p.finish(a)
 	}
@@ -323,13 +329,14 @@
 	require.Equal(t, "2", p.place(p.request("a", Part{"late2", 1000})).Weights)
 }
 
-// An address at which another incarnation answers may be another pool's by now. It
-// gets no work until the incarnation is reported.
+// TestUnknownIncarnationAtAddress checks that an address that answers with another incarnation,
+// and may therefore belong to another pool, receives no requests until the incarnation is
+// reported.
 func TestUnknownIncarnationAtAddress(t *testing.T) {
 	p := newPartsBoard(t, 1, WithReusedAddresses())
 	a := p.place(p.request("a", Part{"x", 10}))
 	p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeRefused, Incarnation: "new"})
-	require.Nil(t, p.place(p.request("a", Part{"y", 10})), "nobody said whose the address is now")
+	require.Nil(t, p.place(p.request("a", Part{"y", 10})), "the new incarnation was not reported yet")
 	for _, act := range p.b.Report(p.now, testAddr(0), Report{
 		Incarnation: "new", Weights: map[string]string{"m": "1"}, PrefillRate: 50000, Slots: 64,
 	}) {
@@ -338,10 +345,11 @@
 			return
 		}
 	}
-	require.Fail(t, "what waited was not sent")
+	require.Fail(t, "the queued request was not sent")
 }
 
-// A silent target is left at once and comes back with its next sign of life.
+// TestSilentTarget checks that an unresponsive target is avoided immediately and used again
+// after its next response.
 func TestSilentTarget(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	a := p.place(p.request("a", Part{"x", 10}))
@@ -357,7 +365,8 @@
 	require.False(t, p.b.targets[a.Target].failing)
 }
 
-// With a bound on attempts, one of which no byte left is none; one that was sent counts.
+// TestUnsentIsNoAttempt checks that, with a limit on attempts, an attempt of which no byte was
+// sent does not count, and one that was sent does.
 func TestUnsentIsNoAttempt(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	p.b.snap.Config.Requests.RetryReserve = 50
@@ -366,15 +375,15 @@
 	out := p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeUnsent})
 	require.Len(t, out, 1)
 	again, ok := out[0].(Send)
-	require.True(t, ok, "it goes elsewhere at once")
+	require.True(t, ok, "it is sent to another target immediately")
 	out = p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: again.Attempt.ID, Kind: OutcomeRefused})
 	refuse, ok := out[0].(Refuse)
 	require.True(t, ok)
 	require.Equal(t, NotRun, refuse.Refusal.Verdict)
 }
 
-// Where no events are followed, routers that know nothing of each other send a
-// prompt to the same engine, and fetch its shared parts there from elsewhere.
+// TestAssumedHolder checks that, without cache events, routers that know nothing of each other
+// send a prompt to the same engine, and that other engines fetch its shared parts from there.
 func TestAssumedHolder(t *testing.T) {
 	one, two := newPartsBoard(t, 6), newPartsBoard(t, 6, WithSeed(7))
 	a := one.place(one.request("a", append(shared, own)...))
@@ -383,11 +392,11 @@
 		{a.Target, "3"}: true, {a.Target, "4"}: true, {a.Target, "5"}: true})
 	next := two.place(two.request("b", append(shared, Part{"y", 700})...))
 	require.NotEqual(t, a.Target, next.Target)
-	require.NotEqual(t, a.Target, next.Fetch, "a held target is no candidate; the next in order is")
+	require.NotEqual(t, a.Target, next.Fetch, "a target that is held back is not a candidate, and the next one in rendezvous order is")
 }
 
-// A request that spills in a large pool goes to the engine that was found for it:
-// another look at a few engines by chance need not find one with room.
+// TestLargePoolSpill checks that a request that spills in a large pool is sent to the engine
+// that was found for it. Another random sample of engines may contain none with capacity.
 func TestLargePoolSpill(t *testing.T) {
 	const engines = 60
 	p := newPartsBoard(t, engines)
--- a/route/rate_test.go
+++ b/route/rate_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRateOfPool checks that an engine of which no prefill was seen is taken to
-// read as fast as others of its pool did, and that its own rate goes before that.
+// TestRateOfPool checks that an engine without an observed prefill is assumed to be as fast as
+// the others of its pool, and that its own observed rate takes precedence.
 func TestRateOfPool(t *testing.T) {
 	f := newPartsBoard(t, 2)
 	first, second := f.b.targets[testAddr(0)], f.b.targets[testAddr(1)]
--- a/route/retry_after_test.go
+++ b/route/retry_after_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nothing counts from the time to come back that a caller was told: a router that was
-// started anew works the next one out of what waits there now, and takes a caller that
-// comes back before or after it as any other.
+// TestRetryAfterAcrossRestart checks that a router does not rely on a Retry-After that its
+// previous process returned: after a restart it computes the next one from its current queue,
+// and treats a caller that returns earlier or later like any other.
 func TestRetryAfterAcrossRestart(t *testing.T) {
 	w := newWorld(t, 0, 1, testSetup{})
 	ask := func(b *Board, id string) []Action {
@@ -27,15 +27,15 @@
 	first := refusal(ask(b, "r1"))
 	require.Equal(t, NotRun, first.Verdict)
 	require.Equal(t, defaultMinRetryAfter, first.RetryAfter)
-	for name, after := range map[string]time.Duration{"at once": 0, "when told": first.RetryAfter, "much later": time.Hour} {
+	for name, after := range map[string]time.Duration{"at once": 0, "when advised": first.RetryAfter, "much later": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			w.now = w.now.Add(after)
 			b := restartedBoard(t, w)
-			require.Empty(t, ask(b, "r2"), "it waits for a target")
+			require.Empty(t, ask(b, "r2"), "the request waits for a target")
 			w.now = w.now.Add(20 * time.Millisecond)
 			next := refusal(b.Tick(w.now))
 			require.Equal(t, NotRun, next.Verdict)
-			require.Equal(t, defaultMinRetryAfter, next.RetryAfter, "no more than what waits there now")
+			require.Equal(t, defaultMinRetryAfter, next.RetryAfter, "computed from the current queue alone")
 			f := w.targets[0]
 			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, f.report())
--- a/route/retry_restart_test.go
+++ b/route/retry_restart_test.go
@@ -9,39 +9,40 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// The fleet of [retrySim] and the bound that its configuration states.
+// Parameters of the fleet of [retrySim] and the bound in its configuration.
 const (
 	retryRouters = 6
-	// retrySeeds is how many routers the settings of each one name.
+	// retrySeeds is the number of routers that the settings of each one name.
 	retrySeeds   = 3
 	retryRatio   = 0.2
 	retryReserve = 52
 	retryWindow  = 10 * time.Second
-	// retryStep is the resolution of the test's time, retryRate the requests a second at each router.
+	// retryStep is the time step of the simulation, and retryRate the requests per second at
+	// each router.
 	retryStep = 50 * time.Millisecond
 	retryRate = 2
-	// meetTime is how long a router that starts or wakes knows no more than its settings,
-	// lostTime the silence after which it counts a peer as lost.
+	// meetTime is how long a router that starts or resumes knows only the routers in its
+	// settings, and lostTime the silence after which it counts a peer as lost.
 	meetTime = 500 * time.Millisecond
 	lostTime = 2500 * time.Millisecond
 )
 
-// retrySim is a fleet whose routers repeat as often as they may.
+// retrySim simulates a fleet whose routers retry as often as they may.
 type retrySim struct {
 	now    time.Time
 	boards []*Board
-	// upAt is when each router started or woke last; it is zero while the router is down,
-	// and goneAt says since when that is.
-	upAt   []time.Time
-	goneAt []time.Time
-	// first and again count the requests and the repeats of all routers in each step.
-	first, again []int
+	// upAt is when each router last started or resumed, or zero while it is down or suspended.
+	// stoppedAt is when it was stopped.
+	upAt      []time.Time
+	stoppedAt []time.Time
+	// requests and retries hold the totals of all routers in each step.
+	requests, retries []int
 }
 
 func newRetrySim() *retrySim {
 	w := &retrySim{
 		now: epoch, boards: make([]*Board, retryRouters),
-		upAt: make([]time.Time, retryRouters), goneAt: make([]time.Time, retryRouters),
+		upAt: make([]time.Time, retryRouters), stoppedAt: make([]time.Time, retryRouters),
 	}
 	for i := range retryRouters {
 		w.start(i)
@@ -49,9 +50,9 @@
 	return w
 }
 
-// start starts a router with nothing of what its last process knew.
+// start starts a router without the state of its previous process.
 func (w *retrySim) start(i int) {
-	b := NewBoard(WithSeed(uint64(len(w.first)*retryRouters+i)), WithRouters(retrySeeds))
+	b := NewBoard(WithSeed(uint64(len(w.requests)*retryRouters+i)), WithRouters(retrySeeds))
 	cfg := &policy.Config{Version: policy.Version, Requests: policy.Requests{
 		RetryBudget: retryRatio, RetryReserve: retryReserve, RetryWindow: policy.Duration(retryWindow),
 	}, Pools: []policy.Pool{{Name: "s", Kind: policy.KindService, Selector: "s=s"}}}
@@ -64,11 +65,11 @@
 	w.resume(i)
 }
 
-// resume lets a router go on that was frozen.
-func (w *retrySim) resume(i int) { w.upAt[i], w.goneAt[i] = w.now, time.Time{} }
+// resume resumes a suspended router.
+func (w *retrySim) resume(i int) { w.upAt[i], w.stoppedAt[i] = w.now, time.Time{} }
 
-// stop ends or freezes a router.
-func (w *retrySim) stop(i int) { w.upAt[i], w.goneAt[i] = time.Time{}, w.now }
+// stop stops or suspends a router.
+func (w *retrySim) stop(i int) { w.upAt[i], w.stoppedAt[i] = time.Time{}, w.now }
 
 func (w *retrySim) all(do func(i int)) {
 	for i := range retryRouters {
@@ -76,24 +77,25 @@
 	}
 }
 
-// visiblePeers is how many routers one knows of, itself included.
+// visiblePeers returns the number of routers that one knows, including itself.
 func (w *retrySim) visiblePeers(i int) int {
 	if w.now.Sub(w.upAt[i]) < meetTime {
 		return retrySeeds
 	}
 	n := 0
 	for j := range retryRouters {
-		if w.goneAt[j].IsZero() || w.now.Sub(w.goneAt[j]) < lostTime {
+		if w.stoppedAt[j].IsZero() || w.now.Sub(w.stoppedAt[j]) < lostTime {
 			n++
 		}
 	}
 	return max(n, retrySeeds)
 }
 
-// run lets time pass: every router that runs gets its requests and repeats as much as it may.
+// run advances the time. Every running router receives its requests and makes all retries that
+// it may.
 func (w *retrySim) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(retryStep) {
-		first, again := 0, 0
+		requests, retries := 0, 0
 		for i, b := range w.boards {
 			if w.upAt[i].IsZero() {
 				continue
@@ -101,19 +103,19 @@
 			if w.now.Sub(w.upAt[i]) >= 5*retryStep {
 				b.MergePeers(w.now, nil, w.visiblePeers(i))
 			}
-			if len(w.first)%int(time.Second/retryStep/retryRate) == i {
+			if len(w.requests)%int(time.Second/retryStep/retryRate) == i {
 				b.earnRetry(w.now, &b.pools["s"].retries)
-				first++
+				requests++
 			}
 			for b.spendRetry(w.now, &b.pools["s"].retries) {
-				again++
+				retries++
 			}
 		}
-		w.first, w.again = append(w.first, first), append(w.again, again)
+		w.requests, w.retries = append(w.requests, requests), append(w.retries, retries)
 	}
 }
 
-// sum counts over one window that begins at a step.
+// sum returns the total over the window that begins at a step.
 func (w *retrySim) sum(counts []int, from int) int {
 	steps, n := int(retryWindow/retryStep), 0
 	for i := max(0, from); i < min(len(counts), from+steps); i++ {
@@ -122,24 +124,24 @@
 	return n
 }
 
-// worst returns the window whose repeats are the most above the bound, or the least
-// below it: its repeats and the bound, by the requests of that window, of the one
-// before and of the one half a window before, whichever has most.
-func (w *retrySim) worst() (repeats int, bound float64) {
+// worst returns the retries and the bound of the window in which the retries exceed the bound
+// by the most, or come closest to it. The bound uses the requests of that window, of the one
+// before or of the one half a window before, whichever has the most.
+func (w *retrySim) worst() (retries int, bound float64) {
 	steps := int(retryWindow / retryStep)
 	bound = 1e9
-	for from := range w.again {
-		most := max(w.sum(w.first, from), w.sum(w.first, from-steps), w.sum(w.first, from-steps/2))
-		n, may := w.sum(w.again, from), retryRatio*float64(most)+retryReserve
-		if may-float64(n) < bound-float64(repeats) {
-			repeats, bound = n, may
+	for from := range w.retries {
+		most := max(w.sum(w.requests, from), w.sum(w.requests, from-steps), w.sum(w.requests, from-steps/2))
+		n, allowed := w.sum(w.retries, from), retryRatio*float64(most)+retryReserve
+		if allowed-float64(n) < bound-float64(retries) {
+			retries, bound = n, allowed
 		}
 	}
-	return repeats, bound
+	return retries, bound
 }
 
-// Over any window the repeats of all routers stay within the bound, whichever
-// routers are started anew, freeze or are lost, and however often.
+// TestRetryBoundRestarts checks that the retries of all routers in any window stay within the
+// bound, whichever routers restart, are suspended or are lost, and however often.
 func TestRetryBoundRestarts(t *testing.T) {
 	cases := map[string]func(w *retrySim){
 		"nobody restarts": func(w *retrySim) { w.run(2 * retryWindow) },
@@ -164,7 +166,7 @@
 			}
 			w.run(retryWindow)
 		},
-		"all right after they met": func(w *retrySim) {
+		"all soon after they know their peers": func(w *retrySim) {
 			w.run(retryWindow + time.Second)
 			for range 8 {
 				w.all(w.start)
@@ -180,7 +182,7 @@
 			}
 			w.run(retryWindow)
 		},
-		"all frozen for longer than peers are known": func(w *retrySim) {
+		"all suspended for longer than the peer timeout": func(w *retrySim) {
 			w.run(retryWindow + time.Second)
 			w.all(w.stop)
 			w.run(lostTime + time.Second)
@@ -194,7 +196,7 @@
 			}
 			w.run(2 * retryWindow)
 		},
-		"all but one are lost and come back": func(w *retrySim) {
+		"all but one are lost and return": func(w *retrySim) {
 			w.run(retryWindow + time.Second)
 			for i := range retryRouters - 1 {
 				w.stop(i)
@@ -210,15 +212,16 @@
 		t.Run(name, func(t *testing.T) {
 			w := newRetrySim()
 			play(w)
-			repeats, bound := w.worst()
-			t.Logf("%d repeats where %.0f may be", repeats, bound)
-			require.LessOrEqual(t, float64(repeats), bound)
+			retries, bound := w.worst()
+			t.Logf("%d retries, at most %.0f allowed", retries, bound)
+			require.LessOrEqual(t, float64(retries), bound)
 		})
 	}
 }
 
-// A router that is alone by its settings repeats from its start, as if it had lived
-// for a while, and stays within the bound over four starts in one window.
+// TestRetryBoundSoleRouter checks that a router whose settings name no other router may retry
+// from its start, as if it had been running before, and stays within the bound over four starts
+// in one window.
 func TestRetryBoundSoleRouter(t *testing.T) {
 	const starts = 4
 	now := epoch
--- a/route/retry_test.go
+++ b/route/retry_test.go
@@ -9,7 +9,7 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// newRetryBoard is the board of a router whose configuration states a bound on repeats.
+// newRetryBoard returns a board whose configuration states a retry reserve.
 func newRetryBoard(routers int) *Board {
 	b := NewBoard()
 	b.snap = &policy.Snapshot{Config: &policy.Config{Requests: policy.Requests{
@@ -19,8 +19,9 @@
 	return b
 }
 
-// The repeats of a window stay under the stated share of its requests and this
-// router's part of the reserve, also where a restart forgot what was spent.
+// TestRetryBound checks that the retries in a window stay below the configured ratio of its
+// requests plus this router's share of the reserve, even if a restart loses the count of
+// retries.
 func TestRetryBound(t *testing.T) {
 	const routers = 5
 	now := time.Unix(1000, 0)
@@ -49,10 +50,10 @@
 	require.Greater(t, burst, 50/routers, "a burst may use what the window's requests allow")
 	require.LessOrEqual(t, burst, 50*20/100+50/routers)
 	now = now.Add(5 * time.Second)
-	require.Zero(t, spend(&k), "the window still holds the burst")
+	require.Zero(t, spend(&k), "the burst is still in the window")
 }
 
-// A count slides with time.
+// TestWindow checks that counted events leave the window as time passes.
 func TestWindow(t *testing.T) {
 	var w window
 	now := time.Unix(1000, 0)
@@ -65,8 +66,8 @@
 	require.Zero(t, w.count(now.Add(time.Hour), 10*time.Second))
 }
 
-// What a window holds depends on the times between events alone: a clock that is set
-// to another time of day neither empties it nor stops it.
+// TestWindowTimeOfDay checks that the count depends only on the time between events: setting
+// the wall clock neither empties the window nor stops it.
 func TestWindowTimeOfDay(t *testing.T) {
 	const over = 10 * time.Second
 	counts := func(start time.Time) (out []int) {
@@ -84,7 +85,8 @@
 	}
 }
 
-// A window of another length keeps what was counted, until that length has passed.
+// TestWindowLength checks that a change of the window's length keeps the counted events until
+// the new length has passed.
 func TestWindowLength(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var w window
@@ -98,8 +100,8 @@
 	require.Zero(t, w.count(now.Add(5*time.Second), 5*time.Second))
 }
 
-// Fewer routers count once no more were seen for a window, not before: those that are
-// gone may have spent their part in it.
+// TestWindowedMax checks that a lower number of routers takes effect only after no higher one
+// was seen for a window, since the routers that disappeared may have spent their share in it.
 func TestWindowedMax(t *testing.T) {
 	const window = 10 * time.Second
 	now := time.Unix(1000, 0)
@@ -110,17 +112,18 @@
 		return c.value
 	}
 	require.Equal(t, 8, observe(0, 8))
-	require.Equal(t, 8, observe(time.Second, 3), "five fell silent")
+	require.Equal(t, 8, observe(time.Second, 3), "five routers stopped responding")
 	require.Equal(t, 8, observe(window-time.Second, 5))
-	require.Equal(t, 5, observe(time.Second, 4), "for a window nobody saw more than five")
+	require.Equal(t, 5, observe(time.Second, 4), "no more than five were seen for a window")
 	require.Equal(t, 9, observe(time.Second, 9))
 	require.Equal(t, 9, observe(time.Second, 2))
-	require.Equal(t, 9, observe(time.Second, 9), "a moment in which few were known is over")
-	require.Equal(t, 9, observe(window, 2), "a router that was frozen knows nobody when it wakes")
+	require.Equal(t, 9, observe(time.Second, 9), "a short time with few known routers has no effect")
+	require.Equal(t, 9, observe(window, 2), "a suspended router knows no others when it resumes")
 	require.Equal(t, 9, observe(window/2, 9))
 }
 
-// Routers whose part of the reserve is less than one spend it together all the same.
+// TestRetryBoundLargeFleet checks that routers whose share of the reserve is less than one
+// retry still spend it in total.
 func TestRetryBoundLargeFleet(t *testing.T) {
 	const routers = 400
 	now := time.Unix(1000, 0)
@@ -134,5 +137,5 @@
 		}
 	}
 	require.LessOrEqual(t, total, 50)
-	require.Greater(t, total, 15, "a tenth of a retry each is some for all")
+	require.Greater(t, total, 15, "a tenth of a retry per router is more than none in total")
 }
--- a/route/stream_test.go
+++ b/route/stream_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// wholeStream is the chunks of a right answer: texts, the finish mark, the usage and the end mark.
+// wholeStream returns the chunks of a complete answer: texts, the finish chunk, the usage and
+// the end of the stream.
 func wholeStream(attempt string, texts int) []Chunk {
 	var out []Chunk
 	for i := range texts {
@@ -23,14 +24,14 @@
 	return out
 }
 
-// TestStreamFuzz loses, repeats, exchanges and crosses chunks and cuts the
-// stream. Whatever arrives, the text is a beginning of the right one, and it is
-// all of it if the stream is taken for whole.
+// TestStreamFuzz drops, repeats, swaps, inserts and truncates chunks, and checks that the
+// delivered text is always a prefix of the correct one, and is all of it if the stream is
+// complete.
 func TestStreamFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		texts := rapid.IntRange(0, 12).Draw(rt, "texts")
 		chunks := wholeStream("a", texts)
-		right := textOf(chunks)
+		want := textOf(chunks)
 		for range rapid.IntRange(0, 4).Draw(rt, "faults") {
 			if len(chunks) == 0 {
 				break
@@ -53,11 +54,11 @@
 		}
 		s := NewStream("a")
 		got := deliver(s, chunks)
-		if !strings.HasPrefix(right, got) {
-			rt.Fatalf("delivered %q, right is %q", got, right)
+		if !strings.HasPrefix(want, got) {
+			rt.Fatalf("delivered %q, want a prefix of %q", got, want)
 		}
-		if s.Complete() && got != right {
-			rt.Fatalf("taken for whole: %q, right is %q", got, right)
+		if s.Complete() && got != want {
+			rt.Fatalf("complete stream delivered %q, want %q", got, want)
 		}
 	})
 }
--- a/route/wait_test.go
+++ b/route/wait_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// refusals returns the refusals among actions by request.
+// refusals returns the refusals among actions by request ID.
 func refusals(actions []Action) map[string]Refusal {
 	out := make(map[string]Refusal)
 	for _, a := range actions {
@@ -21,18 +21,18 @@
 	return out
 }
 
-// fullBoard returns a board whose only engine has no memory left for more.
+// fullBoard returns a board whose only engine has no free memory.
 func fullBoard(t *testing.T) *partsBoard {
 	f := newFillBoard(t, 1)
 	require.NotNil(t, f.place(f.requestWithAim(time.Second, Part{"big", partsMemory * 7 / 10})))
 	return f
 }
 
-// TestWaitsWhileInTime checks that a request waits for room as long as its answer can
-// begin in time by what answers took lately, and is refused at once after that.
+// TestWaitsWhileInTime checks that a request is queued as long as its answer can begin in time,
+// judged by recent answers, and is refused immediately after that.
 func TestWaitsWhileInTime(t *testing.T) {
 	f := fullBoard(t)
-	// Answers took four times as long as their own part of a prompt alone.
+	// Recent answers took four times as long as the prefill of their unshared part alone.
 	f.b.pools["e"].firstTokens.add(400*time.Millisecond, 100*time.Millisecond)
 	r := f.requestWithAim(600*time.Millisecond, Part{"own", 5000})
 	require.Empty(t, refusals(f.b.Arrive(f.now, r)))
@@ -45,8 +45,9 @@
 	require.Positive(t, got[r.ID].RetryAfter)
 }
 
-// TestRefusedAtOnce checks that a request is refused as it comes when the queue's
-// pace says that there will be no room for it in time, with when there will be.
+// TestRefusedAtOnce checks that a request is refused on arrival if the throughput of the queue
+// implies that there will be no capacity for it in time, and that the refusal states when there
+// will be.
 func TestRefusedAtOnce(t *testing.T) {
 	f := fullBoard(t)
 	require.Empty(t, refusals(f.b.Arrive(f.now, f.requestWithAim(time.Second, Part{"own", 8000}))))
@@ -58,8 +59,8 @@
 	require.Greater(t, got[late.ID].RetryAfter, time.Second)
 }
 
-// TestFirstTokenStats checks that means follow what is added, and that no answer is taken
-// to begin sooner than it can.
+// TestFirstTokenStats checks that the averages follow new values, and that the factor is never
+// below one.
 func TestFirstTokenStats(t *testing.T) {
 	var f firstTokenStats
 	require.EqualValues(t, 1, f.factor())
@@ -71,13 +72,14 @@
 	require.InDelta(t, 3, f.factor(), 0.01)
 }
 
-// TestStartedAnswerKeepsWaiting checks that an answer which has begun and broke is not given up
-// while no target takes it, as a request is that can no longer be in time.
+// TestStartedAnswerKeepsWaiting checks that a request whose answer has begun and was
+// interrupted stays queued while no target is available, unlike a request that can no longer be
+// answered in time.
 func TestStartedAnswerKeepsWaiting(t *testing.T) {
 	f := newFillBoard(t, 1)
-	begun := f.requestWithAim(300*time.Millisecond, own)
-	begun.Resumable, begun.Repeatable, begun.MaxTries = true, true, 3
-	a := f.place(begun)
+	started := f.requestWithAim(300*time.Millisecond, own)
+	started.Resumable, started.Repeatable, started.MaxTries = true, true, 3
+	a := f.place(started)
 	f.b.FirstToken(f.now, a.Request, a.ID)
 	f.b.Progress(f.now, a.Request, a.ID)
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Delivered: true, Silent: true})
@@ -89,13 +91,13 @@
 		maps.Copy(got, refusals(f.b.Tick(f.now)))
 	}
 	require.Contains(t, got, other.ID)
-	require.NotContains(t, got, begun.ID)
-	require.Equal(t, []string{begun.ID}, f.sentTargets(f.b.Reached(f.now, testAddr(0))))
+	require.NotContains(t, got, started.ID)
+	require.Equal(t, []string{started.ID}, f.sentTargets(f.b.Reached(f.now, testAddr(0))))
 }
 
-// TestUrgentFirst checks over seeded overloads that requests which are more urgent
-// are not served less often than others of their organisation, by over 5 in 100, and
-// that the others are served a quarter as often as all at least.
+// TestUrgentFirst checks with seeded overloads that requests of higher priority are served at
+// most 5 percentage points less often than others of their organisation, and that the others
+// are served at least a quarter as often as the average.
 func TestUrgentFirst(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -106,29 +108,29 @@
 	}
 }
 
-// overloadRequests is how many requests an overload has, of each of two priorities half.
+// overloadRequests is the number of requests in an overload, half of each priority.
 const overloadRequests = 800
 
-// runOverload sends two engines about twice what they can take, and returns the
-// share of each priority that is served.
+// runOverload sends two engines about twice the load that they can serve, and returns the
+// served fraction of each priority.
 func runOverload(t *testing.T, rng *rand.Rand) map[int]float64 {
 	f := newPartsBoard(t, 2)
 	served := make(map[int]float64)
 	priority := make(map[string]int)
-	var begun, running []Attempt
+	var started, running []Attempt
 	take := func(actions []Action) {
 		for _, a := range actions {
 			if s, ok := a.(Send); ok {
-				begun = append(begun, s.Attempt)
+				started = append(started, s.Attempt)
 				served[priority[s.Attempt.Request]] += 2.0 / overloadRequests
 			}
 		}
 	}
 	for i := range overloadRequests {
-		for _, a := range begun {
+		for _, a := range started {
 			take(f.b.FirstToken(f.now, a.Request, a.ID))
 		}
-		running, begun = append(running, begun...), nil
+		running, started = append(running, started...), nil
 		r := f.requestWithAim(300*time.Millisecond, Part{fmt.Sprint("p", i), 500 + rng.IntN(3500)})
 		r.Priority = i % 2
 		priority[r.ID] = r.Priority
@@ -144,8 +146,8 @@
 	return served
 }
 
-// TestAwaitingFillNotCountedAsQueue checks that requests which wait for what is being read, and not
-// for room, get no other refused, whatever was sent before.
+// TestAwaitingFillNotCountedAsQueue checks that requests that wait for a pending fill, and not
+// for capacity, cause no refusal of others, whatever the earlier throughput was.
 func TestAwaitingFillNotCountedAsQueue(t *testing.T) {
 	f := newFillBoard(t, 3)
 	f.place(f.requestWithAim(time.Second, append(shared, own)...))
@@ -158,8 +160,8 @@
 	require.Empty(t, refusals(f.b.Arrive(f.now, last)))
 }
 
-// TestThroughputFromFirstWait checks that what was sent long before a request had to wait
-// does not count as the pace at which room comes.
+// TestThroughputFromFirstWait checks that requests sent long before the queue formed do not
+// count towards the throughput.
 func TestThroughputFromFirstWait(t *testing.T) {
 	f := fullBoard(t)
 	f.b.pools["e"].throughput.add(f.now, 1000)
--- a/route/world_test.go
+++ b/route/world_test.go
@@ -53,51 +53,51 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 9000)
 }
 
-// fakeTarget is a target as the oracle knows it.
+// fakeTarget is the actual state of a target, against which the board's actions are checked.
 type fakeTarget struct {
-	addr        netip.AddrPort
-	service     bool
-	incarnation int
-	weights     string
-	leaving     bool
-	listLeaving bool
-	// listed says that the last list told to the board had the target leaving.
-	listed bool
+	addr         netip.AddrPort
+	service      bool
+	incarnation  int
+	weights      string
+	draining     bool
+	listDraining bool
+	// listed is set if the target is draining in the list that the board received last.
+	listedDraining bool
 }
 
 func (f *fakeTarget) id() string { return fmt.Sprintf("%s#%d", f.addr, f.incarnation) }
 
 func (f *fakeTarget) report() Report {
-	r := Report{Incarnation: Incarnation(f.id()), Leaving: f.leaving, Slots: 4, PrefillRate: 1000, Weights: map[string]string{}}
+	r := Report{Incarnation: Incarnation(f.id()), Leaving: f.draining, Slots: 4, PrefillRate: 1000, Weights: map[string]string{}}
 	if !f.service && f.weights != "" {
 		r.Weights["m"] = f.weights
 	}
 	return r
 }
 
-// world is one board among fake targets.
+// world is a simulation of one board and its targets.
 type world struct {
 	now      time.Time
 	board    *Board
 	snap     *policy.Snapshot
 	targets  []*fakeTarget
 	inFlight []Attempt
-	// stale are attempts whose end was told already; their replies may still cross.
+	// stale are attempts whose end was reported already; late replies to them may follow.
 	stale  []Attempt
 	ends   map[string][]Action
 	asked  map[string]Request
 	ran    map[string]int
 	sends  map[string]int
 	nextID int
-	// told remembers which incarnations the board was told are leaving.
-	announcedLeaving map[string]bool
-	events           []event.Event
+	// announcedDraining holds the incarnations that the board knows to be draining.
+	announcedDraining map[string]bool
+	events            []event.Event
 }
 
 func newWorld(t require.TestingT, engines, services int, s testSetup) *world {
 	w := &world{
 		now: epoch, snap: s.snapshot(t), ends: make(map[string][]Action), asked: make(map[string]Request),
-		ran: make(map[string]int), sends: make(map[string]int), announcedLeaving: make(map[string]bool),
+		ran: make(map[string]int), sends: make(map[string]int), announcedDraining: make(map[string]bool),
 	}
 	w.board = NewBoard(WithSeed(1), WithEventHandler(func(e event.Event) { w.events = append(w.events, e) }))
 	for i := range engines + services {
@@ -118,18 +118,18 @@
 		if f.service {
 			label = "s"
 		}
-		seen = append(seen, ListedTarget{Addr: f.addr, Labels: map[string]string{"s": label}, Leaving: f.listLeaving})
-		if f.listLeaving && !f.listed {
-			w.announcedLeaving[f.id()] = true
+		seen = append(seen, ListedTarget{Addr: f.addr, Labels: map[string]string{"s": label}, Leaving: f.listDraining})
+		if f.listDraining && !f.listedDraining {
+			w.announcedDraining[f.id()] = true
 		}
-		f.listed = f.listLeaving
+		f.listedDraining = f.listDraining
 	}
 	w.execute(w.board.SetTargets(w.now, seen))
 }
 
 func (w *world) report(f *fakeTarget) {
-	if f.leaving {
-		w.announcedLeaving[f.id()] = true
+	if f.draining {
+		w.announcedDraining[f.id()] = true
 	}
 	w.execute(w.board.Report(w.now, f.addr, f.report()))
 }
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// request sends a request; text decides its prefix.
+// request submits a request whose prefix is determined by text.
 func (w *world) request(org, text string, service, repeatable bool) string {
 	w.nextID++
 	r := Request{
@@ -159,7 +159,7 @@
 	return r.ID
 }
 
-// execute carries actions out; what breaks a promise stands in the returned error of check.
+// execute executes actions and records them for check.
 func (w *world) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -176,7 +176,7 @@
 	}
 }
 
-// cancel takes an attempt out of the air whose end nobody waits for any more.
+// cancel removes a cancelled attempt whose request has ended.
 func (w *world) cancel(c Cancel) {
 	for i, a := range w.inFlight {
 		if a.ID == c.Attempt && w.board.requests[a.Request] == nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-// takeInFlight takes the i-th attempt out of the air.
+// takeInFlight removes and returns the i-th attempt in flight.
 func (w *world) takeInFlight(i int) Attempt {
 	a := w.inFlight[i]
 	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
@@ -194,7 +194,7 @@
 	return a
 }
 
-// end lets an attempt end in a way; it runs at the target where that way means so.
+// end reports the end of an attempt. If runs is set, the request has run at the target.
 func (w *world) end(a Attempt, kind OutcomeKind, runs, delivered bool) {
 	f := w.target(a.Target)
 	if runs && f != nil {
@@ -210,7 +210,7 @@
 	w.execute(w.board.Ended(w.now, o))
 }
 
-// check is the oracle for what must hold at every moment.
+// check returns an error if an invariant is violated.
 func (w *world) check() error {
 	for id, ends := range w.ends {
 		if len(ends) > 1 {
@@ -218,12 +218,12 @@
 		}
 		refuse, ok := ends[0].(Refuse)
 		if ok && refuse.Refusal.Verdict == NotRun && w.ran[id] > 0 {
-			return fmt.Errorf("request %s was answered not-run, and ran", id)
+			return fmt.Errorf("request %s was answered with not-run but ran", id)
 		}
 	}
 	for id, n := range w.ran {
 		if r := w.asked[id]; !r.Repeatable && n > 1 {
-			return fmt.Errorf("request %s may run once and ran %d times", id, n)
+			return fmt.Errorf("request %s is not repeatable and ran %d times", id, n)
 		}
 	}
 	for id, n := range w.sends {
@@ -237,7 +237,7 @@
 	}
 	for addr, n := range perTarget {
 		if p, _ := w.snap.Pool("e"); n > max(p.Window, 4) {
-			return fmt.Errorf("target %s has %d requests", addr, n)
+			return fmt.Errorf("target %s has %d requests in flight", addr, n)
 		}
 	}
 	return nil
