--- a/route/board.go
+++ b/route/board.go
@@ -19,10 +19,12 @@
 	place   Placer
 	onEvent func(event.Event)
 
-	snap     *policy.Snapshot
-	targets  map[netip.AddrPort]*target
+	snap    *policy.Snapshot
+	targets map[netip.AddrPort]*target
+	// slots maps the numbers by which prefixes refers to targets; lastSlot is the last one given.
 	slots    map[uint32]*target
 	lastSlot uint32
+	// marks holds the targets that are known to be draining.
 	marks    map[TargetKey]bool
 	pools    map[string]*pool
 	orgs     map[string]*orgState
@@ -62,9 +64,11 @@
 	limitSharers windowedMax
 	peers        map[string]PeerState
 	closed       *Refusal
-	round        uint64
-	scratch      []candidate
-	staleness    *Staleness
+	// round numbers the scans that mark the targets they visit, and scratch is the reused slice
+	// of candidates.
+	round     uint64
+	scratch   []candidate
+	staleness *Staleness
 	// named holds, for each model, the newest weights over time.
 	named map[string]spans
 	// onPlaced is called for each request that keeps its target busy for long.
--- a/route/fill.go
+++ b/route/fill.go
@@ -26,7 +26,7 @@
 // pendingFill is the computation of a block. Engines keep the blocks of a prompt only after the
 // whole prompt has been prefilled, so until then a block can be neither used nor fetched.
 type pendingFill struct {
-	begun time.Time
+	startedAt time.Time
 	// expectedAt is when the block is predicted to be computed.
 	expectedAt time.Time
 	// local is set if this router sends the request and therefore sees its end. A peer's fill
@@ -56,7 +56,7 @@
 		report.Fills = append(report.Fills, Fill{Target: t.key(), Block: block, Left: duration})
 		key := fillKey{t.slot, block}
 		if _, ok := b.pendingFills[key]; !ok {
-			b.pendingFills[key] = pendingFill{begun: now, expectedAt: now.Add(duration), local: true}
+			b.pendingFills[key] = pendingFill{startedAt: now, expectedAt: now.Add(duration), local: true}
 			a.fills = append(a.fills, key)
 		}
 	}
@@ -89,7 +89,7 @@
 		}
 		key := fillKey{t.slot, f.Block}
 		if _, ok := b.pendingFills[key]; !ok {
-			b.pendingFills[key] = pendingFill{begun: now.Add(-f.Age), expectedAt: now.Add(f.Left)}
+			b.pendingFills[key] = pendingFill{startedAt: now.Add(-f.Age), expectedAt: now.Add(f.Left)}
 		}
 	}
 }
@@ -177,7 +177,7 @@
 // long as predicted is not waited for.
 func (b *Board) awaitPendingFill(now time.Time, p *pool, r *request, c *candidate, extra time.Duration) (*candidate, time.Duration) {
 	f := c.pending
-	if f.expectedAt.IsZero() || b.disabled.Has(AwaitReading) || now.After(f.expectedAt.Add(f.expectedAt.Sub(f.begun))) {
+	if f.expectedAt.IsZero() || b.disabled.Has(AwaitReading) || now.After(f.expectedAt.Add(f.expectedAt.Sub(f.startedAt))) {
 		return c, extra
 	}
 	if c.meetsAim(now, r) {
--- a/route/homes.go
+++ b/route/homes.go
@@ -29,8 +29,9 @@
 }
 
 // Constants of the set of a first part. The set has one engine for every requestsPerHome
-// requests per second, which leaves time of the engine for other sets, in addition to
-// minHomeEngines, so that one engine may be lost or busy. The rate is measured over homeWindow.
+// requests per second, which leaves engine time for other sets, in addition to minHomeEngines,
+// so that one engine may be lost or busy. The rate is measured over homeWindow, and
+// maxFirstParts bounds the measured parts.
 const (
 	requestsPerHome = 1.5
 	minHomeEngines  = 3
--- a/route/kept.go
+++ b/route/kept.go
@@ -45,7 +45,11 @@
 // Constants of exports and imports. A prefix is exported if it is requested at least
 // minExportRate times per second at one router, measured over exportRateWindow, and has at
 // least minKeptTokens. A failed export is repeated after exportRetryDelay at the earliest, and
-// a router has at most exportsAtOnce exports in progress.
+// a router has at most exportsAtOnce exports in progress. It remembers about maxKeptPrefixes
+// prefixes and reports at most maxKeptReported of them to its peers.
+//
+// An import is predicted to be importFactor times as fast as the prefill, plus importOverhead.
+// It is considered for importWindow after a target's cache was emptied.
 const (
 	minExportRate    = 0.2
 	minKeptTokens    = 512
--- a/route/parts_test.go
+++ b/route/parts_test.go
@@ -160,7 +160,7 @@
 		require.Less(t, i, 200, "all requests were sent to the holder")
 		a := p.place(p.request("a", append(shared, Part{fmt.Sprint("own", i), 2000})...))
 		if a == nil {
-			return // memory is full before the other engine is worth it
+			return // the memory is full before the other engine costs less
 		}
 		if a.Target == testAddr(1) {
 			require.Equal(t, testAddr(0), a.Fetch)
--- a/route/retry.go
+++ b/route/retry.go
@@ -13,8 +13,8 @@
 
 	sent  window
 	spent window
-	// begun is when counting began.
-	begun time.Time
+	// startedAt is when counting began.
+	startedAt time.Time
 }
 
 // defaultRetryReserve is the number of retries to a pool that a router may make in addition to
@@ -43,7 +43,7 @@
 )
 
 func newRetryBudget(now time.Time) retryBudget {
-	return retryBudget{tokens: defaultRetryReserve, begun: now}
+	return retryBudget{tokens: defaultRetryReserve, startedAt: now}
 }
 
 // earnRetry counts a request that is sent for the first time.
@@ -65,7 +65,7 @@
 	}
 	windowLength := time.Duration(q.RetryWindow)
 	fraction := 0.0
-	switch age := now.Sub(budget.begun); {
+	switch age := now.Sub(budget.startedAt); {
 	case age >= windowLength:
 		fraction = reserveFraction
 	case b.soleRouter && b.recentRouters.value == 1, float64(age) >= minCountingFraction*float64(windowLength):
@@ -91,8 +91,8 @@
 // the others.
 type windowedMax struct {
 	value int
-	// lower is the largest of the numbers below value that were seen since the given time, or
-	// zero if there were none.
+	// lower is the largest number below value that was observed after since, or zero if there
+	// was none.
 	lower int
 	since time.Time
 }
@@ -120,10 +120,10 @@
 // window counts events in a sliding time window.
 type window struct {
 	slots [windowSlots]int
-	// width is the duration of a slot. Slots are numbered from begun by the monotonic clock,
+	// width is the duration of a slot. Slots are numbered from startedAt by the monotonic clock,
 	// because the wall clock may be set forward or back.
-	width time.Duration
-	begun time.Time
+	width     time.Duration
+	startedAt time.Time
 	// at is the number of the newest slot.
 	at int64
 }
@@ -132,10 +132,10 @@
 	if width := max(length, time.Second) / windowSlots; width != w.width {
 		// Events counted with another window length are counted as new.
 		n := w.sum()
-		*w = window{width: width, begun: now}
+		*w = window{width: width, startedAt: now}
 		w.slots[0] = n
 	}
-	at := int64(now.Sub(w.begun) / w.width)
+	at := int64(now.Sub(w.startedAt) / w.width)
 	for n := min(at-w.at, windowSlots); n > 0; n-- {
 		w.slots[(at-n+1)%windowSlots] = 0
 	}
--- a/route/stream_test.go
+++ b/route/stream_test.go
@@ -91,16 +91,16 @@
 		err     error
 		dropped int
 	}{
-		"whole":             {chunks: good, whole: true},
-		"late chunk":        {chunks: []Chunk{good[1], good[0], good[2], good[3], good[4], good[5]}, whole: true},
-		"repeated":          {chunks: []Chunk{good[0], good[0], good[1], good[2], good[3], good[4], good[5]}, whole: true, dropped: 1},
-		"missing":           {chunks: []Chunk{good[0], good[2], good[3], good[4], good[5]}, err: ErrGap},
-		"last text missing": {chunks: []Chunk{good[0], good[1], good[3], good[4], good[5]}, err: ErrGap},
-		"no finish mark":    {chunks: []Chunk{good[0], good[1], good[2], good[5]}, err: ErrUnfinished},
-		"no usage":          {chunks: []Chunk{good[0], good[1], good[2], good[3], good[5]}, err: ErrUnfinished},
-		"only crossed":      {chunks: append([]Chunk{{Attempt: "b", Seq: 1, Text: "x"}}, good[5]), err: ErrUnfinished, dropped: 1},
-		"text after finish": {chunks: []Chunk{{Text: "x", Finish: true}, {Text: "y"}}, err: ErrExtra},
-		"unnumbered":        {chunks: []Chunk{{Text: "x"}, {Text: "y", Finish: true}, {Done: true}}, whole: true},
+		"complete":                       {chunks: good, whole: true},
+		"late chunk":                     {chunks: []Chunk{good[1], good[0], good[2], good[3], good[4], good[5]}, whole: true},
+		"repeated":                       {chunks: []Chunk{good[0], good[0], good[1], good[2], good[3], good[4], good[5]}, whole: true, dropped: 1},
+		"missing":                        {chunks: []Chunk{good[0], good[2], good[3], good[4], good[5]}, err: ErrGap},
+		"last text missing":              {chunks: []Chunk{good[0], good[1], good[3], good[4], good[5]}, err: ErrGap},
+		"no finish chunk":                {chunks: []Chunk{good[0], good[1], good[2], good[5]}, err: ErrUnfinished},
+		"no usage":                       {chunks: []Chunk{good[0], good[1], good[2], good[3], good[5]}, err: ErrUnfinished},
+		"only chunks of another attempt": {chunks: append([]Chunk{{Attempt: "b", Seq: 1, Text: "x"}}, good[5]), err: ErrUnfinished, dropped: 1},
+		"text after finish":              {chunks: []Chunk{{Text: "x", Finish: true}, {Text: "y"}}, err: ErrExtra},
+		"unnumbered":                     {chunks: []Chunk{{Text: "x"}, {Text: "y", Finish: true}, {Done: true}}, whole: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
