--- a/node/peer_zones_test.go
+++ b/node/peer_zones_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Bytes between nodes are counted by call, and apart where they leave the failure domain.
+// Bytes between nodes are counted by call, and separately if they leave the failure domain.
 func TestPeerBytesByDomain(t *testing.T) {
 	s := validSettings()
 	s.Zone = "hall-1"
--- a/node/peers.go
+++ b/node/peers.go
@@ -9,7 +9,8 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// gossipLoop exchanges with a few peers each round and gives the board what they told.
+// gossipLoop gossips with a few peers each round, or reports to relays in a large fleet, and passes
+// the result to the board.
 func (n *Node) gossipLoop(ctx context.Context) {
 	every := gossipInterval
 	for pause(ctx, n.jitter(every)) {
@@ -24,13 +25,13 @@
 	}
 }
 
-// broadcastTimeout bounds how long a node waits for all others to have heard what it tells:
-// those that answer do so within some milliseconds. A node that is cut off never does,
-// and each change of a few targets' weights would wait for it for peerCallTime: bringing
-// 60 targets to new weights took 6.9 s in place of 4.9 with a third of the nodes silent.
+// broadcastTimeout limits the wait for all other nodes to receive a broadcast, which live nodes
+// answer within some milliseconds. An unreachable node never answers, and each change of a few
+// targets' weights would wait for peerCallTimeout: with a third of the nodes unreachable, bringing 60
+// targets to new weights took 6.9 s instead of 4.9 s.
 const broadcastTimeout = 60 * time.Millisecond
 
-// broadcast tells all nodes at once what this one says of itself.
+// broadcast sends this node's state to all nodes at once.
 func (n *Node) broadcast(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, broadcastTimeout)
 	defer cancel()
@@ -41,7 +42,8 @@
 	n.gossip.ExchangeWithAll(ctx)
 }
 
-// payload is what the node says of itself. In a large fleet relays tell the most of it.
+// payload returns the state that this node gossips. In a large fleet most of it travels through
+// relays instead.
 func (n *Node) payload(now time.Time) peer.Payload {
 	_, large := n.relays.size()
 	n.Lock()
@@ -49,7 +51,7 @@
 	var state route.PeerState
 	if !large {
 		state = n.Board().State(now)
-		// What targets hold is told by their events, which come as soon.
+		// Peers learn cache contents from the cache events of the targets just as soon.
 		state.Fills, state.Kept = nil, nil
 	}
 	state.Holds, state.Loaded = n.weights.announcement()
@@ -64,8 +66,8 @@
 	}
 }
 
-// receiveConfigReport takes a peer's word on configuration.
-func (n *Node) receiveConfigReport(begun time.Time, w fleet.ConfigStatus) {
+// receiveConfigStatus applies a peer's configuration status.
+func (n *Node) receiveConfigStatus(begun time.Time, w fleet.ConfigStatus) {
 	n.Lock()
 	defer n.Unlock()
 	n.adoption.ObservePeer(begun, w)
@@ -85,8 +87,9 @@
 	return n.document, n.document.Revision > 0
 }
 
-// updateBoard gives the board the states of the live peers: each one's own, or in a
-// large fleet the joined one that relays tell. Holds come from their holder alone.
+// updateBoard passes the states of the live peers to the board: one for each peer, or in a large
+// fleet the merged state that relays send. Held targets are only taken from the node that holds
+// them.
 func (n *Node) updateBoard() {
 	_, large := n.relays.size()
 	nodes := n.fleetSize()
@@ -122,12 +125,12 @@
 	})
 }
 
-// fleetSize is how many nodes share what is bounded for all: those that are known, and
-// at least as many as the settings name, since a node that starts knows nobody yet.
-// Until it may know all of them it also takes the number that the holder of the lease
-// recorded. Nodes that are started together would otherwise each take a third of the
-// limits, of the reserve of repeats and of the targets' connections, where three seeds
-// are named: 65 times their part among 195, for some three seconds.
+// fleetSize returns the number of nodes that share fleet-wide limits: the known nodes, but at least
+// the number of seeds in the settings, since a node that starts knows no others. Until
+// recordedSizeTTL after the start it is also at least the number that the lease holder recorded.
+// Otherwise, with three seeds configured, each of 195 nodes that start together would take a third
+// of the limits, the retry reserve and the targets' connections, 65 times its share, for some three
+// seconds.
 func (n *Node) fleetSize() int {
 	nodes, _ := n.relays.size()
 	nodes = max(nodes, len(n.settings().Seeds))
@@ -137,24 +140,23 @@
 	return nodes
 }
 
-// recordedSizeTTL is how long after its start a node takes the fleet for as large as was
-// recorded, unless it knows of more: 195 nodes that start together all know each other
-// after three seconds.
+// recordedSizeTTL is how long after its start a node uses the recorded fleet size as a lower bound:
+// 195 nodes that start together all know each other after three seconds.
 const recordedSizeTTL = 4 * time.Second
 
-// maxRecordedSize is the largest fleet that a record is believed of, 25 times the largest
-// expected: one that is not so would give each node next to nothing of what is shared.
+// maxRecordedSize is the largest recorded fleet size that is believed, 25 times the largest
+// expected fleet. A wrong, larger one would leave each node almost nothing of the shared limits.
 const maxRecordedSize = 10_000
 
-// applyRecordedSize takes the size of the fleet that the holder of the lease recorded;
-// zero says that it recorded none.
+// applyRecordedSize applies the fleet size recorded by the lease holder; zero means that none was
+// recorded.
 func (n *Node) applyRecordedSize(nodes int) {
 	if nodes > 0 && nodes <= maxRecordedSize && n.recordedSize.Swap(int64(nodes)) != int64(nodes) {
 		n.updateBoard()
 	}
 }
 
-// allOthers names the joined state of all other nodes among those of single ones.
+// allOthers is the key of the merged state of all other nodes.
 const allOthers = "all others"
 
 var (
--- a/node/ports.go
+++ b/node/ports.go
@@ -13,81 +13,83 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// RequestInfo is what a caller's request says of itself.
+// RequestInfo is what the protocol reads from a caller's request.
 type RequestInfo struct {
-	// ID is the caller's name for this request, Key its API key.
+	// ID identifies the request, Key is the API key.
 	ID  string
 	Key string
-	// Patience is how long the caller waits for the answer; zero means that it does not say.
+	// Timeout is how long the caller waits for the answer; zero if unknown.
 	Timeout time.Duration
-	// Model is empty for a call to a plain service.
+	// Model is empty for a request to a plain service.
 	Model     string
 	Parts     []route.Part
 	MaxTokens int
-	// Tokens is what the request counts for limits; zero means that it does not say.
+	// Tokens is the number of tokens charged to limits; zero if unknown.
 	Tokens int
 }
 
 // AttemptInfo is what a router adds to a request that it sends to a target.
 type AttemptInfo struct {
 	Attempt route.Attempt
-	// Org is the organisation that the caller's key belongs to, empty on public routes.
+	// Org is the organisation of the caller's key, empty on public routes.
 	Org string
-	// Left is how much of the request's time is left.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
 	Priority  int
-	// LastEvent is the id of the last event that was passed on, for an answer that goes on.
+	// LastEvent is the id of the last event sent to the caller, for resuming a stream.
 	LastEvent string
 }
 
-// ResponseClass is what the head of a target's answer says.
+// ResponseClass classifies the header of a target's response.
 type ResponseClass int
 
-// The meanings of an answer's head.
+// Classes of responses.
 const (
-	// ResponseAnswer is an answer to be passed on.
+	// ResponseAnswer is an answer to be sent to the caller.
 	ResponseAnswer ResponseClass = iota
-	// ResponseNotRun says that the target did not run the request.
+	// ResponseNotRun means that the target did not run the request.
 	ResponseNotRun
-	// ResponseOtherIncarnation says that another incarnation answered, which did not run the request.
+	// ResponseOtherIncarnation means that another incarnation responded and did not run the
+	// request.
 	ResponseOtherIncarnation
 )
 
-// Protocol is how an installation's callers and targets use HTTP.
+// Protocol is the HTTP dialect of an installation's callers and targets.
 type Protocol interface {
-	// Ask reads a caller's request; an error is the caller's fault.
+	// ParseRequest reads a caller's request. An error means that the request is invalid.
 	ParseRequest(r *http.Request) (RequestInfo, error)
-	// Header fills in the header of an attempt, which holds the caller's own.
+	// Header completes the header of an attempt, which starts as the caller's header.
 	Header(h http.Header, s AttemptInfo)
-	// Own reports whether a target's answer belongs to the request with the id.
+	// BelongsTo reports whether a target's response belongs to the request with the given id.
 	BelongsTo(h http.Header, id string) bool
-	// Read says what the head of a target's answer means, and which incarnation gave it where that is told.
+	// ClassifyResponse classifies a target's response by its header and returns the incarnation
+	// that sent it, if the header names one.
 	ClassifyResponse(status int, h http.Header) (m ResponseClass, incarnation route.Incarnation)
-	// Said returns what the head of a target's answer says of the target.
-	TargetSignals(status int, h http.Header) route.TargetHints
-	// Refuse writes a refusal to a caller.
+	// TargetHints returns the hints that a target announces of itself in a response header.
+	TargetHints(status int, h http.Header) route.TargetHints
+	// WriteRefusal writes a refusal to a caller.
 	WriteRefusal(w http.ResponseWriter, f route.Refusal)
-	// Fault tells a caller that its request is wrong in itself.
+	// WriteBadRequest answers a caller whose request is invalid.
 	WriteBadRequest(w http.ResponseWriter, status int, text string)
-	// EventID returns the id that a line of an event stream gives to its event.
+	// EventID returns the event id that a line of an event stream sets.
 	EventID(line []byte) (id string, ok bool)
-	// Streams reports whether the head of an answer begins an event stream.
+	// Streams reports whether a response header starts an event stream.
 	Streams(h http.Header) bool
 }
 
-// Declared is a configuration as it lies in the store.
+// Declared is a configuration read from the store.
 type Declared struct {
 	Revision int64
-	// Text is what the operator wrote, for peers that cannot reach the store.
+	// Text is the source text, passed on to peers that cannot reach the store.
 	Text   string
 	Config *policy.Config
-	// Limits bound what callers may send.
+	// Limits apply to callers.
 	Limits Limits
-	// Fixed are targets that stand in the configuration and on no list.
+	// Fixed are targets named in the configuration that are on no list.
 	Fixed []route.Entry
 }
 
-// Limits bound a caller's connection.
+// Limits bound the requests and connections of callers.
 type Limits struct {
 	MaxHeader  int
 	MaxBody    int64
@@ -95,86 +97,86 @@
 	IdleTime   time.Duration
 }
 
-// Naming says that a model's newest weights were named.
+// Naming records that weights were named as the newest of a model.
 type Naming struct {
 	Model   string
 	Weights string
-	// Revision is the store's counter at the naming.
+	// Revision is the store's revision counter at the naming.
 	Revision int64
 }
 
-// Changes is what a watch of the declaration brought.
+// Changes is the result of watching the declaration.
 type Changes struct {
-	// Cursor is where the next watch goes on.
+	// Cursor is where the next watch continues.
 	Cursor int64
-	// At is what the store's clock showed when it answered, zero where it tells none.
+	// At is the time on the store's clock when it answered; zero if it reports none.
 	At time.Duration
 	// Declared is nil if the configuration did not change.
 	Declared *Declared
 	Named    []Naming
 	// Rollouts are the orders to move pools to other releases.
 	Rollouts []route.RolloutOrder
-	// Rejected says why a configuration could not be read, if one could not.
+	// Rejected is the reason that a configuration could not be read, if any.
 	Rejected error
 }
 
-// Listing is a reading of the list of targets.
+// Listing is one reading of the list of targets.
 type Listing struct {
 	Targets []*route.Entry
-	// Partial says that the list is large and was not read.
+	// Partial is set if the list is large and was not read completely.
 	Partial bool
-	// Faulty are the entries that name no target, since they are not as targets write them.
+	// Invalid are the entries that do not describe a target.
 	Invalid []InvalidEntry
 }
 
-// InvalidEntry is an entry of the list that names no target.
+// InvalidEntry is a list entry that does not describe a target.
 type InvalidEntry struct {
-	ID              string
-	WriteBadRequest InvalidReason
+	ID     string
+	Reason InvalidReason
 }
 
-// InvalidReason is the reason for which an entry of the list names no target.
+// InvalidReason is the reason that a list entry is invalid.
 type InvalidReason string
 
-// The faults of an entry.
+// Reasons for invalid list entries.
 const (
-	// EntryUndecodable is one that does not decode, or has fields of another type.
+	// EntryUndecodable means that the entry does not decode or has a field of the wrong type.
 	EntryUndecodable InvalidReason = "unread"
-	// EntryMissingField is one that lacks a field, EntryUnknownState one in a state that has no meaning
-	// here, EntryInvalidValue one with a value that can't be.
+	// EntryMissingField, EntryUnknownState and EntryInvalidValue mean that the entry lacks a field,
+	// has an unknown state, or has a value out of range.
 	EntryMissingField InvalidReason = "lacks"
 	EntryUnknownState InvalidReason = "state"
 	EntryInvalidValue InvalidReason = "value"
 )
 
-// ErrHistoryGone says that a watch has to begin anew.
+// ErrHistoryGone means that a watch has to restart from a zero cursor.
 var ErrHistoryGone = errs.Tag("the store's history does not reach back that far")
 
 // Store is the installation's store.
 type Store interface {
 	fleet.Table
 	RolloutRecord
-	// Watch returns what changed in the declaration after a cursor, or after
-	// wait with nothing; a zero cursor reads it whole.
+	// Watch returns the changes to the declaration after a cursor, or none after wait. A zero
+	// cursor reads the whole declaration.
 	Watch(ctx context.Context, after int64, wait time.Duration) (Changes, error)
-	// Parse reads a configuration's text, as a peer passed it on.
+	// Parse parses the text of a configuration that a peer passed on.
 	Parse(revision int64, text string) (*Declared, error)
-	// Targets reads the list of targets. Unless the whole of a large one is asked for, a list that
-	// the store does not give at once is not read any further.
+	// Targets reads the list of targets. If large is false, a list that needs more than one page is
+	// not read any further.
 	Targets(ctx context.Context, large bool) (Listing, error)
-	// Era is the store's newest life that an answer was of, zero before the first and for a
-	// store that tells none. It rises when the store comes back from an older copy.
+	// Era returns the newest era of the store seen in an answer, zero before the first answer and
+	// for a store without eras. The era rises when the store is restored from an older copy.
 	Era() int64
-	// Clock tells what the store's answers said of its clock.
+	// Clock returns the relation to the store's clock.
 	Clock() StoreClock
-	// LastBefore returns what the store's clock showed at the last answer heard of that
-	// it gave before its counter came to a revision.
+	// LastBefore returns the time on the store's clock of the last received answer that the store
+	// gave before its counter reached a revision.
 	LastBefore(revision int64) (at time.Duration, ok bool)
 }
 
-// TargetState is what a target says of itself when it is asked.
+// TargetState is the answer of a target to a state query.
 type TargetState struct {
-	// Start is when the target started by its own clock, zero where it does not tell.
+	// Start is when the target started by its own clock; zero if unknown.
 	Start   time.Time
 	Weights map[string]string
 	Orders  int64
@@ -186,7 +188,7 @@
 	Target  route.TargetKey
 	Model   string
 	Weights string
-	// Orders is the number of orders that the incarnation must have taken.
+	// Orders is the number of orders that the incarnation must have accepted before.
 	Orders int64
 	Holder string
 	Fence  int64
@@ -195,14 +197,14 @@
 // OrderAnswer is a target's answer to an order.
 type OrderAnswer int
 
-// The answers to an order.
+// Answers to an order.
 const (
 	OrderTaken OrderAnswer = iota
 	OrderAlreadyLoaded
 	OrderRefused
 )
 
-// String returns the answer's name for logs.
+// String returns the name of the answer for logs.
 func (a OrderAnswer) String() string {
 	switch a {
 	case OrderTaken:
@@ -215,23 +217,23 @@
 	panic("node: unknown answer to an order")
 }
 
-// CachePage is a run of a target's events about its cache.
+// CachePage is a page of a target's cache events.
 type CachePage struct {
-	// Start is when the target started by its own clock, zero where it does not tell.
+	// Start is when the target started by its own clock; zero if unknown.
 	Start time.Time
-	// Epoch changes when the target starts with an empty cache, Next is where to go on.
+	// Epoch changes when the target starts with an empty cache. Next is the position after this
+	// page.
 	Epoch int64
 	Next  int64
-	// Gap says that events before these are lost.
+	// Gap is set if events before these were lost.
 	Gap     bool
 	Changes []route.PartChange
 }
 
-// Engines is how an installation's targets are asked and ordered.
+// Engines is the client for the management API of an installation's targets.
 type Engines interface {
 	State(ctx context.Context, target netip.AddrPort) (TargetState, error)
 	Order(ctx context.Context, o Order) (OrderAnswer, error)
-	// CacheEvents returns what changed in a target's cache after an event, or
-	// after wait with nothing.
+	// CacheEvents returns the changes to a target's cache after an event, or none after wait.
 	CacheEvents(ctx context.Context, target netip.AddrPort, since int64, wait time.Duration) (CachePage, error)
 }
--- a/node/probe.go
+++ b/node/probe.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// probeTimeout bounds the opening of a connection that tells whether a target lives:
-// one that does takes it within some milliseconds.
+// probeTimeout limits the time to open a connection to a target: a live one accepts within some
+// milliseconds.
 const probeTimeout = 300 * time.Millisecond
 
-// probeSet are the targets that are being tried with a new connection.
+// probeSet is the set of targets being probed.
 type probeSet struct {
 	mu      sync.Mutex
 	targets map[netip.AddrPort]bool
 }
 
-// begin reports whether a target is to be tried, which it is not while it is already.
+// begin adds a target and reports whether it was not in the set.
 func (r *probeSet) begin(target netip.AddrPort) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,21 +30,21 @@
 	return true
 }
 
-// end notes that a target was tried.
+// end removes a target.
 func (r *probeSet) end(target netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.targets, target)
 }
 
-// probeSilent tries a target on which a connection has gone silent with a new one.
-// Connections may go silent for good while new ones work; a target that takes one is
-// not gone. It does not wait for that.
-func (n *Node) probeSilent(target netip.AddrPort) {
+// probeUnresponsive probes a target on which a connection stopped responding, in the background.
+// Connections may hang for good while new ones work; a target that accepts a new one is alive.
+func (n *Node) probeUnresponsive(target netip.AddrPort) {
 	n.probeAsync(target, func() bool { return true })
 }
 
-// probeAsync tries a target with a new connection, if wanted says so and it is not being tried. It does not wait for that.
+// probeAsync probes a target in the background, if wanted returns true and no probe of it is
+// running.
 func (n *Node) probeAsync(target netip.AddrPort, wanted func() bool) {
 	if !n.probes.begin(target) {
 		return
--- a/node/probe_test.go
+++ b/node/probe_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProbeSet checks that many requests whose connections to a target go silent
-// together open one new connection to it, and one to each other target.
+// TestProbeSet checks that many requests whose connections to one target hang at once open a single
+// new connection to it, and one to each other target.
 func TestProbeSet(t *testing.T) {
 	var r probeSet
 	a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
--- a/node/recent.go
+++ b/node/recent.go
@@ -9,25 +9,25 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// In a large fleet loads are told with reports, which are some 0.4 s old. So requests
-// that take a target long are told of besides: each node tells its relay at once, and
-// relays tell all others in batches.
+// In a large fleet the loads in reports are some 0.4 s old. Requests with a long prefill are
+// therefore announced separately: each node sends them to its relay at once, and relays send them
+// to all others in batches.
 
-// recentInterval is the time between two batches: a tenth of what reports take, at a
-// message each for every node.
+// recentInterval is the time between two batches: a tenth of the delay of reports, at one message
+// per batch to every node.
 const recentInterval = 25 * time.Millisecond
 
-// outbox are the requests that a relay has yet to tell of.
+// outbox holds the requests that a relay has yet to announce.
 type outbox struct {
-	// own are to go to everyone, relayed to this relay's own reporters alone.
+	// own go to every node, relayed only to this relay's own reporters.
 	own, relayed []route.SentRequest
-	// ready wakes the loop that tells them.
+	// ready wakes the loop that sends them.
 	ready chan struct{}
 }
 
 func newOutbox() outbox { return outbox{ready: make(chan struct{}, 1)} }
 
-// add takes what is to be told.
+// add queues requests.
 func (o *outbox) add(w peer.RecentNotice) {
 	if w.Relayed {
 		o.relayed = append(o.relayed, w.Recent...)
@@ -47,13 +47,13 @@
 	return own, relayed
 }
 
-// announceRecent tells of a request of this node's own.
+// announceRecent announces a request that this node sent.
 func (r *relays) announceRecent(ctx context.Context, s route.SentRequest) {
-	word := peer.RecentNotice{Recent: []route.SentRequest{s}}
+	notice := peer.RecentNotice{Recent: []route.SentRequest{s}}
 	r.mu.Lock()
 	acting := r.acting
 	if acting {
-		r.outbox.add(word)
+		r.outbox.add(notice)
 	} else {
 		r.expectEcho(s)
 	}
@@ -62,16 +62,16 @@
 	if acting || len(next) == 0 {
 		return
 	}
-	if err := r.n.peers.Recent(ctx, next[0].Addr, word); err != nil {
-		r.n.log.Debug("the relay was not told of a request", "relay", next[0].ID, "error", err)
+	if err := r.n.peers.Recent(ctx, next[0].Addr, notice); err != nil {
+		r.n.log.Debug("announcing a request to the relay failed", "relay", next[0].ID, "error", err)
 	}
 }
 
-// maxEchoes bounds the requests of this node's own that relays have yet to tell it
-// of. More stand there only after relays were lost.
+// maxEchoes limits the requests of this node that relays have yet to echo. There are more only
+// after relays were lost.
 const maxEchoes = 256
 
-// expectEcho notes a request of this node's own; the caller holds the lock.
+// expectEcho records a request of this node. The caller holds r.mu.
 func (r *relays) expectEcho(s route.SentRequest) {
 	if len(r.echoes) >= maxEchoes {
 		clear(r.echoes)
@@ -87,8 +87,8 @@
 	n.Board().AddPeerSends(n.now(), others)
 }
 
-// receiveRecent notes what a relay has to tell others, and returns the requests that
-// are not this node's own.
+// receiveRecent queues the requests if this node is a relay, and returns those that are not this
+// node's own.
 func (r *relays) receiveRecent(w peer.RecentNotice) []route.SentRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +110,7 @@
 	return others
 }
 
-// recentLoop tells others in batches while this node relays.
+// recentLoop sends batches to other nodes while this node is a relay.
 func (n *Node) recentLoop(ctx context.Context) {
 	for {
 		select {
@@ -124,14 +124,14 @@
 		for addr, w := range n.relays.batches() {
 			n.loops.Go(func() {
 				if err := n.peers.Recent(ctx, addr, w); err != nil {
-					n.log.Debug("a node was not told of requests", "node", addr, "error", err)
+					n.log.Debug("announcing requests to a node failed", "node", addr, "error", err)
 				}
 			})
 		}
 	}
 }
 
-// batches empties the outbox into what each node is to be told.
+// batches empties the outbox and returns the message for each node.
 func (r *relays) batches() map[netip.AddrPort]peer.RecentNotice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/recent_test.go
+++ b/node/recent_test.go
@@ -13,7 +13,7 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-func testRelays(id string) *relays {
+func newTestRelays(id string) *relays {
 	self := fleet.Member{ID: id, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Power: 1}
 	return &relays{
 		n:      &Node{now: clock.Steady},
@@ -22,10 +22,10 @@
 	}
 }
 
-// TestRecentEchoes checks that a node does not count its own requests again when
-// relays tell it of them, and counts those of others that look the same.
+// TestRecentEchoes checks that a node does not count its own requests again when relays echo them,
+// but counts equal requests of other nodes.
 func TestRecentEchoes(t *testing.T) {
-	r := testRelays("a")
+	r := newTestRelays("a")
 	own, other := route.SentRequest{Target: 1, Prefill: 900}, route.SentRequest{Target: 2, Prefill: 900}
 	r.echoes[own] = 1
 	require.Equal(t, []route.SentRequest{other}, r.receiveRecent(peer.RecentNotice{Recent: []route.SentRequest{own, other}}))
@@ -33,10 +33,10 @@
 	require.Empty(t, r.echoes)
 }
 
-// TestRecentBatches checks that a relay tells other relays only what its reporters
-// told, and its reporters everything, each batch once.
+// TestRecentBatches checks that a relay forwards to other relays only what its reporters sent, and
+// to its reporters everything, each batch once.
 func TestRecentBatches(t *testing.T) {
-	r := testRelays("a")
+	r := newTestRelays("a")
 	r.acting = true
 	reporter := fleet.Member{ID: "r", Addr: netip.MustParseAddrPort("10.0.0.2:1")}
 	relay := fleet.Member{ID: "b", Addr: netip.MustParseAddrPort("10.0.0.3:1"), Power: 2}
--- a/node/record.go
+++ b/node/record.go
@@ -9,21 +9,21 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// recordedSpan is a [route.NewestSpan] as the holder of the lease records it, in
-// milliseconds of the store's clock.
+// recordedSpan is the stored form of a [route.NewestSpan] in the lease record. Times are
+// milliseconds on the store's clock.
 type recordedSpan struct {
 	Model   string `json:"model"`
 	Weights string `json:"weights"`
 	FirstMS int64  `json:"firstMs"`
-	// LastMS is negative where no such moment is known.
+	// LastMS is negative if unknown.
 	LastMS int64 `json:"lastMs"`
 }
 
-// unknownMS stands for a moment that is not known.
+// unknownMS stands for an unknown time.
 const unknownMS = -1
 
-// record returns what the next write of the lease records of the newest weights. It is
-// what a fleet that starts anew as a whole knows of their age: nothing else outlasts it.
+// record returns the newest weights to record with the next write of the lease. After a restart of
+// the whole fleet it is the only source for their age.
 func (d *weightsUpdater) record() json.RawMessage {
 	d.n.Lock()
 	spans := d.n.Board().NewestSpans()
@@ -42,17 +42,17 @@
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		panic("node: a record of weights does not encode")
+		panic("node: encoding the record of weights: " + err.Error())
 	}
 	return data
 }
 
-// decodeRecord returns what was recorded, on this process's clock. What would lie after
-// now was recorded by another clock of the store.
+// decodeRecord decodes a record into times of this process. A time later than now was recorded with
+// a different store clock.
 func decodeRecord(c StoreClock, now time.Time, data json.RawMessage) ([]route.NewestSpan, error) {
 	var record []recordedSpan
 	if err := json.Unmarshal(data, &record); err != nil {
-		return nil, errs.Errorf("the lease's record of weights: %w", err)
+		return nil, errs.Errorf("the record of weights in the lease: %w", err)
 	}
 	spans := make([]route.NewestSpan, 0, len(record))
 	for _, r := range record {
@@ -70,7 +70,7 @@
 
 func recordSpan(c StoreClock, s route.NewestSpan) recordedSpan {
 	_, first := c.ToStore(s.First)
-	// Rounded up, as it is the later bound; the other is rounded down.
+	// Rounded up because it is the later bound; the earlier one is rounded down.
 	out := recordedSpan{Model: s.Model, Weights: s.Weights, FirstMS: first.Milliseconds() + 1, LastMS: unknownMS}
 	if !s.Last.IsZero() {
 		last, _ := c.ToStore(s.Last)
@@ -79,7 +79,7 @@
 	return out
 }
 
-// span returns what was recorded, on this process's clock.
+// span converts the recorded span to times of this process.
 func (r recordedSpan) span(c StoreClock) route.NewestSpan {
 	_, first := c.ToHere(time.Duration(r.FirstMS) * time.Millisecond)
 	s := route.NewestSpan{Model: r.Model, Weights: r.Weights, First: first}
@@ -89,7 +89,7 @@
 	return s
 }
 
-// applyRecord takes what the holder of the lease recorded.
+// applyRecord applies the record of the lease holder.
 func (d *weightsUpdater) applyRecord(note json.RawMessage) {
 	c := d.n.store.Clock()
 	if len(note) == 0 || !c.Known() {
@@ -97,7 +97,7 @@
 	}
 	spans, err := decodeRecord(c, d.n.now(), note)
 	if err != nil {
-		d.n.log.Warn("what the holder of the lease recorded was not read", "error", err)
+		d.n.log.Warn("invalid record of weights in the lease", "error", err)
 		return
 	}
 	d.n.applyNewest(spans, "the lease's record")
--- a/node/relay.go
+++ b/node/relay.go
@@ -13,65 +13,66 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The times and bounds of a large fleet, whose nodes report to a few relays.
+// Intervals and limits of a large fleet, whose nodes report to a few relays.
 const (
-	// reportInterval is the time between two reports: loads that are told of are as old.
+	// reportInterval is the time between two reports, and so the age of reported loads.
 	reportInterval = 250 * time.Millisecond
-	// rosterTimeout is the silence after which a node is off the roster.
+	// rosterTimeout is the time without contact after which a node is removed from the roster.
 	rosterTimeout = 2500 * time.Millisecond
-	// followTimeout is how old the last answer of a relay may be to rely on it: some
-	// reports may fail.
+	// followTimeout is the maximum age of the last relay answer for relying on it; it allows for
+	// some failed reports.
 	followTimeout = 1500 * time.Millisecond
-	// followListFraction and followKeysFraction are how old what a relay read of the list and
-	// of the declaration may be, as parts of the bounds of draining and revocation.
+	// followListFraction and followKeysFraction are the maximum ages of a relay's reading of the
+	// list and of the declaration, as fractions of the drain and revocation bounds.
 	followListFraction = 0.6
 	followKeysFraction = 0.5
-	// relayListFraction and relayWatchFraction are a relay's own times between readings, as
-	// parts of the same bounds: few read, so they may read often.
+	// relayListFraction and relayWatchFraction are a relay's own reading intervals as fractions of
+	// the same bounds. Only a few nodes read, so they may read often.
 	relayListFraction  = 0.25
 	relayWatchFraction = 0.15
-	// relayAskFraction is how old a relay's list may be, as a part of the bound of draining,
-	// before it asks other relays for theirs. It leaves time for two reports on the way
-	// until followListFraction, at which its reporters would all turn to the store.
+	// relayAskFraction is the age of a relay's list, as a fraction of the drain bound, at which the
+	// relay asks other relays for theirs. It leaves time for two reports before followListFraction,
+	// at which all its reporters would turn to the store.
 	relayAskFraction = 0.4
-	// smallFleetHysteresis is the part of the size of a large fleet at which it counts as small
-	// again, so that one at the border does not change to and fro.
+	// smallFleetHysteresis is the fraction of the small-fleet size below which a large fleet counts
+	// as small again, so that a fleet near the limit does not flap.
 	smallFleetHysteresis = 0.75
 )
 
-// relays is the node's part in a large fleet. There, a few nodes read the store
-// and the engines' events and tell the others, and join what all say of
-// themselves. A node to which no relay tells anything reads the store itself.
+// relays is the node's role in a large fleet. A few nodes, the relays, read the store and the
+// engines' events and pass them on, and merge the states that all nodes report. A node without an
+// answer from a relay reads the store itself.
 type relays struct {
 	n *Node
 
-	// mu guards what follows; it is taken inside the node's lock, never around it.
+	// mu guards the fields below. It may be acquired while the node's lock is held, but not the
+	// other way round.
 	mu     sync.Mutex
 	roster *fleet.Roster[route.PeerState]
 	large  bool
 	acting bool
 	// largeAt is when the fleet became large.
 	largeAt time.Time
-	// entries and beats are the list as it is told to others, read at listAt; only a relay has them.
+	// entries and heartbeats are the published list, read at listAt. Only relays have them.
 	entries    *route.Feed[netip.AddrPort, *route.Entry]
 	heartbeats *route.Feed[netip.AddrPort, int64]
 	listAt     time.Time
-	// members are the members as they are told to others, as of a digest.
+	// members are the published members, as of the digest membersOf.
 	members   *route.Feed[string, fleet.Member]
 	membersOf uint64
-	// pages are the addresses of the list in order, as of a version of entries.
+	// pages are the sorted addresses of the list, as of version pagesOf of entries.
 	pages   []netip.AddrPort
 	pagesOf int64
-	// paging says that the whole list is being taken from a relay.
+	// fetchingList is set while the whole list is being fetched from a relay.
 	fetchingList atomic.Bool
-	// from is what this node was told, by the relay that it names.
+	// followed is the state received from the relay that this node follows.
 	followed followedRelay
 	outbox   outbox
-	// echoes counts the requests of this node's own that relays will tell it of too.
+	// echoes counts the requests of this node that relays will send back to it.
 	echoes map[route.SentRequest]int
-	// sharedSent is how far each relay was told of the parts that prompts share.
+	// sharedSent is the position up to which shared parts were sent to each relay.
 	sharedSent map[string]sharedCursor
-	// noted is this node's part as it was logged last.
+	// loggedRole is this node's role as last logged.
 	loggedRole relayRole
 }
 
@@ -92,8 +93,7 @@
 	}
 }
 
-// size returns how many nodes there are, and whether they are too many to talk to
-// each other directly.
+// size returns the number of nodes and whether they are too many to gossip directly.
 func (r *relays) size() (nodes int, large bool) {
 	live := r.n.gossip.Live()
 	r.mu.Lock()
@@ -104,7 +104,7 @@
 		if nodes <= r.n.smallFleet {
 			return nodes, false
 		}
-		r.begin(now, live)
+		r.startReporting(now, live)
 	}
 	nodes = len(r.roster.Members(now))
 	if now.Sub(r.largeAt) > rosterTimeout && float64(max(nodes, 1+len(live))) < smallFleetHysteresis*float64(r.n.smallFleet) {
@@ -114,8 +114,8 @@
 	return nodes, r.large
 }
 
-// begin begins to report to relays; the caller holds the lock.
-func (r *relays) begin(now time.Time, live []peer.Entry) {
+// startReporting switches to reporting to relays. The caller holds r.mu.
+func (r *relays) startReporting(now time.Time, live []peer.Entry) {
 	r.large, r.largeAt = true, now
 	r.n.gossip.SuppressPeerEvents(true)
 	for _, e := range live {
@@ -123,7 +123,7 @@
 	}
 }
 
-// known returns the relays, if the fleet is large.
+// known returns the relays, or nil in a small fleet.
 func (r *relays) known() []fleet.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,19 +133,19 @@
 	return r.roster.Relays(r.n.now())
 }
 
-// learnRelays takes the relays that a peer told of: the fleet is large, whatever this
-// node has seen of it.
+// learnRelays adds the relays that a peer named. That there are any means that the fleet is large,
+// however many nodes this one has seen.
 func (r *relays) learnRelays(members []fleet.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.n.now()
 	if !r.large {
-		r.begin(now, nil)
+		r.startReporting(now, nil)
 	}
 	r.roster.Hint(now, members...)
 }
 
-// followsRelay reports whether a relay tells this node what the store says.
+// followsRelay reports whether a relay provides this node with the contents of the store.
 func (r *relays) followsRelay() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,21 +156,21 @@
 		now.Sub(r.followed.confirmedAt) <= fraction(b.Revoke, followKeysFraction)
 }
 
-// hearsRelay reports whether a relay answers this node, whatever it knows of the store.
-func (r *relays) hearsRelay() bool {
+// relayResponds reports whether a relay answers this node, even if that relay cannot read the store.
+func (r *relays) relayResponds() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.large && !r.acting && r.n.now.Since(r.followed.at) <= followTimeout
 }
 
-// isRelay reports whether this node relays for others.
+// isRelay reports whether this node is a relay.
 func (r *relays) isRelay() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.large && r.acting
 }
 
-// otherAddrs returns the addresses of all other nodes known.
+// otherAddrs returns the addresses of all other known nodes.
 func (r *relays) otherAddrs() []netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,14 +183,14 @@
 	return out
 }
 
-// othersState returns the joined state of all other nodes.
+// othersState returns the merged state of all other nodes.
 func (r *relays) othersState() route.PeerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return route.JoinStates(r.roster.OtherStates(r.n.now(), ""))
 }
 
-// logRole logs a change of this node's part.
+// logRole logs a change of this node's role.
 func (r *relays) logRole() {
 	follows := r.followsRelay()
 	r.mu.Lock()
@@ -212,11 +212,11 @@
 	case now.follows && now.relay != was.relay:
 		r.n.events.Record(event.Event{Code: event.RelayTaken, Detail: id})
 	case was.follows && !now.follows && !now.acting:
-		r.n.events.Record(event.Event{Code: event.RelayLost, Detail: fmt.Sprintf("the last was %s", was.relay)})
+		r.n.events.Record(event.Event{Code: event.RelayLost, Detail: fmt.Sprintf("previous relay %s", was.relay)})
 	}
 }
 
-// relayRole is this node's part among the relays, as it was logged last.
+// relayRole is a node's role among the relays.
 type relayRole struct {
 	acting, follows bool
 	relay           string
--- a/node/relay_answer.go
+++ b/node/relay_answer.go
@@ -10,7 +10,7 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// publish notes the list as it is told to others, unless a newer reading was.
+// publish sets the list that is passed on to other nodes, unless a newer reading was published.
 func (r *relays) publish(at time.Time, list []*route.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,11 +26,11 @@
 	r.publishEntries(list)
 }
 
-// publishEntries brings the list into what is told to others; the caller holds the lock. Of a long list signs
-// of life are left out: nodes that use a few of many targets need none of the others, and a
-// target that fails there gives way to another.
+// publishEntries updates the published feeds with the list. The caller holds r.mu. Heartbeats of a
+// long list are left out: a node uses only a few of many targets, and if one of them fails another
+// takes its place.
 func (r *relays) publishEntries(list []*route.Entry) {
-	beats := len(list) <= largePoolSize
+	withHeartbeats := len(list) <= largePoolSize
 	gone := make(map[netip.AddrPort]bool)
 	for _, addr := range r.entries.Keys() {
 		gone[addr] = true
@@ -38,11 +38,11 @@
 	for _, e := range list {
 		addr := e.Seen.Addr
 		delete(gone, addr)
-		if beats {
+		if withHeartbeats {
 			r.heartbeats.Set(addr, e.Revision)
-			unbeaten := *e
-			unbeaten.Revision = 0
-			e = &unbeaten
+			withoutHeartbeat := *e
+			withoutHeartbeat.Revision = 0
+			e = &withoutHeartbeat
 		}
 		r.entries.Set(addr, e)
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-// sameEntry reports whether two entries say the same but for signs of life.
+// sameEntry reports whether two entries are equal except for their heartbeat revision.
 func sameEntry(a, b *route.Entry) bool {
 	x, y := *a, *b
 	x.Revision, y.Revision = 0, 0
@@ -69,18 +69,19 @@
 		}
 		return out
 	}
-	// What a reporter says of newer configuration is unconfirmed, since its clock for it is not ours.
-	n.receiveConfigReport(time.Time{}, fleet.ConfigStatus{Revision: in.Config.Revision, ConfirmedAge: -1})
+	// The age of the reporter's confirmation was measured on another clock, so it counts as
+	// unconfirmed.
+	n.receiveConfigStatus(time.Time{}, fleet.ConfigStatus{Revision: in.Config.Revision, ConfirmedAge: -1})
 	n.peerZones.set(in.Word.From.Addr, in.Word.From.Zone)
 	n.Lock()
-	// A relay tells the other relays itself.
+	// Other relays send shared parts to each other themselves.
 	n.Board().TakeShared(n.now(), in.Word.State.Shared, !in.Word.Relay)
 	n.Unlock()
 	in.Word.State.Shared = nil
-	own, word := n.relayState()
+	own, status := n.relayState()
 	out := n.relays.answer(in, own)
-	out.Config = word
-	out.Newest = n.newestReports(n.now())
+	out.Config = status
+	out.Newest = n.newestUpdates(n.now())
 	out.Crashes = n.crashes.HandleRequest(in.Crashes)
 	n.Lock()
 	defer n.Unlock()
@@ -97,14 +98,14 @@
 	return out
 }
 
-// brief answers who relays.
+// brief answers with the relays only.
 func (r *relays) brief() peer.RelayAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return peer.RelayAnswer{Stamp: r.n.events.Clock().Now(), Word: r.roster.RelayMessage(r.n.now())}
 }
 
-// answer answers a report but for what is on the board.
+// answer builds the answer to a report, except for the parts that come from the board.
 func (r *relays) answer(in peer.RelayReport, own route.PeerState) peer.RelayAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,24 +123,25 @@
 	} else {
 		out.Word.State.Hot = route.TopRates(out.Word.State.Hot)
 	}
-	// One that others have just come to take for a relay has the list to tell with its next report.
+	// A node that others have just selected as a relay has no list to pass on until its own next
+	// report.
 	if in.Asks && out.Word.Relay && r.acting && !r.listAt.IsZero() {
-		out.News = r.news(now, in.Known)
+		out.News = r.updates(now, in.Known)
 	}
 	return out
 }
 
-// changeMembers answers with what changed of the members since the reporter's cursor, where that is
-// known: told whole with each node that came or went, a thousand nodes would be told of a thousand
-// others again and again. The caller holds the lock.
+// changeMembers replaces the member list in the answer with the changes since the reporter's
+// cursor, if they are known. With the whole list sent after each join and leave, a thousand nodes
+// would be sent a thousand members again and again. The caller holds r.mu.
 func (r *relays) changeMembers(now time.Time, in peer.RelayReport, out *peer.RelayAnswer) {
-	if told, digest := r.roster.Announced(now); digest != r.membersOf {
+	if announced, digest := r.roster.Announced(now); digest != r.membersOf {
 		r.membersOf = digest
-		gone := make(map[string]bool, len(told))
+		gone := make(map[string]bool, len(announced))
 		for _, id := range r.members.Keys() {
 			gone[id] = true
 		}
-		for _, m := range told {
+		for _, m := range announced {
 			delete(gone, m.ID)
 			r.members.Set(m.ID, m)
 		}
@@ -155,8 +157,8 @@
 	out.Changed, out.Word.Members = true, nil
 }
 
-// news returns what changed of the list since a cursor; the caller holds the lock.
-func (r *relays) news(now time.Time, known peer.RelayCursor) *peer.RelayUpdate {
+// updates returns the changes to the list since a cursor. The caller holds r.mu.
+func (r *relays) updates(now time.Time, known peer.RelayCursor) *peer.RelayUpdate {
 	epoch := r.roster.Self().Epoch
 	if known.Epoch != epoch {
 		known = peer.RelayCursor{}
--- a/node/relay_report.go
+++ b/node/relay_report.go
@@ -13,34 +13,33 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// followedRelay is what a relay told.
+// followedRelay is the state received from a relay.
 type followedRelay struct {
 	id     string
 	cursor peer.RelayCursor
-	// members and digest are those that the relay told last.
+	// members and digest are the members last received.
 	members    []fleet.Member
 	digest     uint64
 	entries    map[netip.AddrPort]*route.Entry
 	heartbeats map[netip.AddrPort]int64
-	// at is when the last answer was asked for, listAt and confirmedAt as of when it
-	// told of the list and of the declaration.
+	// at is when the call with the last answer began; listAt and confirmedAt are the times of the
+	// relay's readings of the list and the declaration.
 	at, listAt, confirmedAt time.Time
 }
 
-// sharedCursor is how far a relay that was started at an epoch was told of the parts
-// that this node saw to be shared.
+// sharedCursor is the position up to which shared parts were sent to a relay that started at epoch.
 type sharedCursor struct {
 	epoch, next int64
 }
 
-// sharedSince returns the parts that this node saw to be shared after so many others.
+// sharedSince returns the shared parts that this node found after a position.
 func (n *Node) sharedSince(after int64) ([]uint64, int64) {
 	n.Lock()
 	defer n.Unlock()
 	return n.Board().SharedSince(after)
 }
 
-// round reports to the relays that are this node's, and to one seed that it knows nothing of.
+// round reports to this node's relays, and queries one seed that is not a known member.
 func (r *relays) round(ctx context.Context) {
 	report, next := r.report()
 	var calls sync.WaitGroup
@@ -55,16 +54,16 @@
 	r.n.gossip.Expire()
 }
 
-// report returns what is to be told, and to whom.
+// report returns the report to send and its receivers.
 func (r *relays) report() (peer.RelayReport, []fleet.Member) {
-	own, word := r.n.relayState()
+	own, status := r.n.relayState()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.n.now()
 	if r.n.stopping.Load() {
 		r.roster.SetPower(0)
 	}
-	out := peer.RelayReport{Stamp: r.n.events.Clock().Now(), Config: word}
+	out := peer.RelayReport{Stamp: r.n.events.Clock().Now(), Config: status}
 	var states []route.PeerState
 	out.Word, states = r.roster.Report(now)
 	out.Word.State = route.JoinStates(append(states, own))
@@ -79,7 +78,7 @@
 	return out, r.roster.Next(now)
 }
 
-// unknownSeed returns a seed that no known node has the address of.
+// unknownSeed returns a random seed that is the address of no known node.
 func (r *relays) unknownSeed() (netip.AddrPort, bool) {
 	r.mu.Lock()
 	members := r.roster.Members(r.n.now())
@@ -95,14 +94,14 @@
 	return seeds[r.n.rng.IntN(len(seeds))], true
 }
 
-// call reports to one relay and takes its answer.
+// call reports to one relay and applies its answer.
 func (r *relays) call(ctx context.Context, to fleet.Member, report peer.RelayReport) {
-	report, told := r.reportTo(to, report)
+	report, sent := r.reportTo(to, report)
 	report.Crashes = r.n.crashes.NewRequest(to.Addr)
 	begun := r.n.now()
 	answer, err := r.n.peers.Relay(ctx, to.Addr, report)
 	if err != nil {
-		r.n.log.Debug("a relay did not answer", "relay", to.ID, "error", err)
+		r.n.log.Debug("reporting to a relay failed", "relay", to.ID, "error", err)
 		r.n.crashes.HandleFailure(to.Addr)
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -113,15 +112,15 @@
 	r.n.crashes.HandleResponse(to.Addr, report.Crashes, answer.Crashes)
 	r.n.peerZones.set(to.Addr, answer.Word.From.Zone)
 	r.mu.Lock()
-	r.sharedSent[to.ID] = told
+	r.sharedSent[to.ID] = sent
 	r.mu.Unlock()
 	r.applyAnswer(ctx, begun, to, answer)
-	r.n.applyConfigReport(ctx, begun, to.Addr, answer.Config)
+	r.n.applyConfigStatus(ctx, begun, to.Addr, answer.Config)
 	r.n.receiveNewest(begun, "relay "+to.ID, answer.Newest)
 }
 
-// reportTo completes a report by what one relay was told and told itself before, and
-// returns how far that relay will have been told of shared parts by it.
+// reportTo adds the parts of a report that depend on the relay, and returns the position of shared
+// parts after it.
 func (r *relays) reportTo(to fleet.Member, report peer.RelayReport) (peer.RelayReport, sharedCursor) {
 	r.mu.Lock()
 	if r.acting && r.n.list.isLarge() {
@@ -130,18 +129,18 @@
 	if r.followed.id == to.ID {
 		report.Known, report.Digest = r.followed.cursor, r.followed.digest
 	}
-	told := r.sharedSent[to.ID]
+	sent := r.sharedSent[to.ID]
 	r.mu.Unlock()
-	if told.epoch != to.Epoch {
-		told = sharedCursor{epoch: to.Epoch}
+	if sent.epoch != to.Epoch {
+		sent = sharedCursor{epoch: to.Epoch}
 	}
-	report.Word.State.Shared, told.next = r.n.sharedSince(told.next)
-	return report, told
+	report.Word.State.Shared, sent.next = r.n.sharedSince(sent.next)
+	return report, sent
 }
 
-// reportCrashes tells the relays that are this node's of targets that ended under requests, and
-// nothing else. A whole report has some KB, and its answer the joined state of all: as 54 targets
-// ended in herds, nodes reported up to 20 times a second in place of four.
+// reportCrashes sends only the crash updates to this node's relays. A full report has some KB and
+// its answer carries the merged state of all nodes: while 54 targets crashed in groups, nodes sent
+// up to 20 full reports a second instead of four.
 func (r *relays) reportCrashes(ctx context.Context) {
 	r.mu.Lock()
 	next := r.roster.Next(r.n.now())
@@ -165,12 +164,12 @@
 	calls.Wait()
 }
 
-// askSeed asks a process of which only the address is known who relays. Whole reports
-// and answers would be too much for a seed that many ask at once.
+// askSeed asks a process of which only the address is known for the relays. Full reports and
+// answers would overload a seed that many nodes ask at once.
 func (r *relays) askSeed(ctx context.Context, addr netip.AddrPort) {
 	answer, err := r.n.peers.Relay(ctx, addr, peer.RelayReport{Stamp: r.n.events.Clock().Now(), Brief: true})
 	if err != nil {
-		r.n.log.Debug("a seed did not answer", "seed", addr, "error", err)
+		r.n.log.Debug("querying a seed failed", "seed", addr, "error", err)
 		return
 	}
 	r.mu.Lock()
@@ -178,7 +177,7 @@
 	r.roster.Hint(r.n.now(), append(answer.Word.Relays, answer.Word.From)...)
 }
 
-// applyAnswer takes a relay's answer to a report that was sent at begun.
+// applyAnswer applies a relay's answer to a report that was sent at begun.
 func (r *relays) applyAnswer(ctx context.Context, begun time.Time, from fleet.Member, a peer.RelayAnswer) {
 	if a.News != nil {
 		r.n.internChanges(a.News.Entries)
@@ -192,7 +191,7 @@
 		a.Word.Members = applyMemberChanges(r.followed.members, a.Members, r.roster.Self().ID, a.Word.From.ID)
 	}
 	if !a.Word.Relay {
-		// It was taken for a relay by mistake; whom it knows may mend that.
+		// The sender is not a relay; the members it knows may lead to one.
 		r.roster.Hint(now, append(a.Word.Members, a.Word.From)...)
 		r.mu.Unlock()
 		return
@@ -203,12 +202,12 @@
 		r.fetchList(ctx, from)
 		return
 	}
-	if a.News == nil || !r.applyNews(begun, from.ID, a) {
+	if a.News == nil || !r.applyUpdate(begun, from.ID, a) {
 		r.mu.Unlock()
 		return
 	}
 	acting, listAt := r.acting, r.followed.listAt
-	// After a change of relay its reading may be older than what is known here.
+	// After a change of relay its list may be older than the known one.
 	newer := listAt.After(r.listAt)
 	changed := a.News.EntriesFull || len(a.News.Entries)+len(a.News.Beats) > 0
 	var list []*route.Entry
@@ -228,7 +227,8 @@
 	}
 }
 
-// applyMemberChanges returns members after some changes, in the order of their ids and without some.
+// applyMemberChanges returns members with changes applied, sorted by id and without the ids in
+// except.
 func applyMemberChanges(members []fleet.Member, changes []route.Change[string, fleet.Member], except ...string) []fleet.Member {
 	out := slices.Clone(members)
 	for _, c := range changes {
@@ -246,8 +246,9 @@
 	return out
 }
 
-// applyNews notes what a relay told and reports whether it is news; the caller holds the lock.
-func (r *relays) applyNews(begun time.Time, id string, a peer.RelayAnswer) bool {
+// applyUpdate applies the list changes in an answer and reports whether they are newer. The caller
+// holds r.mu.
+func (r *relays) applyUpdate(begun time.Time, id string, a peer.RelayAnswer) bool {
 	f := &r.followed
 	listAt := begun.Add(-a.News.ListAge)
 	if r.acting && !listAt.After(r.listAt) {
@@ -255,7 +256,7 @@
 	}
 	if f.id != id || f.cursor.Epoch != a.News.Cursor.Epoch {
 		if !a.News.EntriesFull || !a.News.BeatsFull {
-			// It was asked for changes of a list that another's has replaced since.
+			// These are changes to a list that another relay's list has since replaced.
 			return false
 		}
 		*f = followedRelay{id: id, entries: make(map[netip.AddrPort]*route.Entry), heartbeats: make(map[netip.AddrPort]int64)}
@@ -273,7 +274,7 @@
 	return true
 }
 
-// internChanges keeps once what the entries of some changes have alike.
+// internChanges interns the maps of changed entries.
 func (n *Node) internChanges(changes []route.Change[netip.AddrPort, *route.Entry]) {
 	entries := make([]*route.Entry, 0, len(changes))
 	for _, c := range changes {
@@ -284,7 +285,7 @@
 	n.list.intern(entries)
 }
 
-// apply puts changes into a map.
+// apply applies changes to a map.
 func apply[K comparable, V any](m map[K]V, changes []route.Change[K, V], full bool) {
 	if full {
 		clear(m)
@@ -298,14 +299,14 @@
 	}
 }
 
-// list returns the list of targets as the relay told it.
+// list returns the list of targets as received from the relay.
 func (f *followedRelay) list() []*route.Entry {
 	out := make([]*route.Entry, 0, len(f.entries))
 	for addr, e := range f.entries {
-		if beat, ok := f.heartbeats[addr]; ok && beat != e.Revision {
-			beaten := *e
-			beaten.Revision = beat
-			e = &beaten
+		if revision, ok := f.heartbeats[addr]; ok && revision != e.Revision {
+			updated := *e
+			updated.Revision = revision
+			e = &updated
 			f.entries[addr] = e
 		}
 		out = append(out, e)
@@ -313,15 +314,14 @@
 	return out
 }
 
-// relayState returns what the node says of itself to relays: its state, and its word
-// on the configuration. Holds go from the holder of the lease to everyone at once,
-// and what engines hold is told by their events.
+// relayState returns what the node reports to relays: its state and its configuration status. Held
+// targets are broadcast by the lease holder, and cache contents come from the engines' events.
 func (n *Node) relayState() (route.PeerState, fleet.ConfigStatus) {
 	n.Lock()
 	defer n.Unlock()
 	now := n.now()
 	state := n.Board().State(now)
-	// Each relay is told of shared parts once.
+	// Shared parts are sent to each relay once; see reportTo.
 	state.Fills, state.Kept, state.Shared = nil, nil, nil
 	_, state.Loaded = n.weights.announcement()
 	return state, n.adoption.Status(now)
--- a/node/relay_report_test.go
+++ b/node/relay_report_test.go
@@ -13,8 +13,8 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// relayNews is a relay's answer with a list of targets, or with what changed of it.
-func relayNews(epoch int64, full bool, targets ...string) peer.RelayAnswer {
+// relayUpdate returns a relay's answer with a list of targets, or with changes to it.
+func relayUpdate(epoch int64, full bool, targets ...string) peer.RelayAnswer {
 	news := &peer.RelayUpdate{Cursor: peer.RelayCursor{Epoch: epoch, Entries: 9, Beats: 9}, EntriesFull: full, BeatsFull: full}
 	for _, addr := range targets {
 		e := route.Entry{Seen: route.ListedTarget{Addr: netip.MustParseAddrPort(addr)}}
@@ -23,36 +23,36 @@
 	return peer.RelayAnswer{News: news}
 }
 
-// A relay asks several others at once. What one of them says to have changed since it
-// was asked last counts only while that one's list is still the one that is known:
-// after another's it would be all that is left.
-func TestRelayNewsFromAnotherRelay(t *testing.T) {
+// A relay queries several other relays at once. The changes that one of them sends apply only to
+// the list that came from the same relay: applied to the list of another one, they would replace
+// the whole list.
+func TestRelayUpdateFromAnotherRelay(t *testing.T) {
 	const one, two = "10.0.0.1:1", "10.0.0.2:1"
 	for name, c := range map[string]struct {
-		// from answers second, and the first relay again third.
+		// from is the relay of the second answer; the third comes from the first relay again.
 		from          string
 		second, third peer.RelayAnswer
 		want          int
 	}{
-		"changes of the same relay":                 {from: "a", second: relayNews(1, false), third: relayNews(1, false), want: 2},
-		"changes of one after the list of another":  {from: "b", second: relayNews(2, true, one, two), third: relayNews(1, false, one), want: 2},
-		"changes of one that was started anew":      {from: "a", second: relayNews(1, false), third: relayNews(3, false, one), want: 2},
-		"the whole list of one after the other's":   {from: "b", second: relayNews(2, true, one, two), third: relayNews(1, true, one), want: 1},
-		"the whole list of one that was begun anew": {from: "a", second: relayNews(1, false), third: relayNews(3, true, one), want: 1},
+		"changes of the same relay":                 {from: "a", second: relayUpdate(1, false), third: relayUpdate(1, false), want: 2},
+		"changes of one after the list of another":  {from: "b", second: relayUpdate(2, true, one, two), third: relayUpdate(1, false, one), want: 2},
+		"changes of one that was started anew":      {from: "a", second: relayUpdate(1, false), third: relayUpdate(3, false, one), want: 2},
+		"the whole list of one after the other's":   {from: "b", second: relayUpdate(2, true, one, two), third: relayUpdate(1, true, one), want: 1},
+		"the whole list of one that was begun anew": {from: "a", second: relayUpdate(1, false), third: relayUpdate(3, true, one), want: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := testRelays("r")
+			r := newTestRelays("r")
 			now := time.Now()
-			require.True(t, r.applyNews(now, "a", relayNews(1, true, one, two)))
-			require.True(t, r.applyNews(now.Add(time.Second), c.from, c.second))
-			r.applyNews(now.Add(2*time.Second), "a", c.third)
+			require.True(t, r.applyUpdate(now, "a", relayUpdate(1, true, one, two)))
+			require.True(t, r.applyUpdate(now.Add(time.Second), c.from, c.second))
+			r.applyUpdate(now.Add(2*time.Second), "a", c.third)
 			require.Len(t, r.followed.list(), c.want)
 		})
 	}
 }
 
-// A node that the others' going has made a relay tells nothing of the list before it has taken its part
-// up: an empty list would take all targets from whoever asks it.
+// A node that has just been selected as a relay because others left publishes no list until it acts
+// as one: an empty list would remove all targets from the nodes that ask it.
 func TestRelayNotYetActing(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/node/rollout.go
+++ b/node/rollout.go
@@ -9,29 +9,29 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// RolloutStatus is what the store records of a pool's roll-out.
+// RolloutStatus is the stored state of a pool's roll-out.
 type RolloutStatus struct {
 	Release string
-	// Phase is the trial for as long as the roll-out has not ended.
+	// Phase is the trial until the roll-out has ended.
 	Phase route.RolloutPhase
-	// Revision is the row's position in the store, zero where there is no row.
+	// Revision is the revision of the row in the store, zero if there is no row.
 	Revision int64
 }
 
-// RolloutRecord is where an installation keeps the states of roll-outs. A write fails with
-// [fleet.ErrConflict] where the row is not at the revision that the status names.
+// RolloutRecord stores the states of roll-outs. A write fails with [fleet.ErrConflict] if the row
+// is not at the revision in the status.
 type RolloutRecord interface {
 	RolloutStatus(ctx context.Context, pool string) (RolloutStatus, error)
 	RecordRollout(ctx context.Context, pool string, s RolloutStatus) (revision int64, err error)
 }
 
-// rolloutInterval is the time between two looks at the roll-outs that this node advances, while there are some.
+// rolloutInterval is the time between two checks of the roll-outs while there are any.
 const rolloutInterval = 250 * time.Millisecond
 
-// rollouts advances the pools' roll-outs for the fleet. One node does so for each roll-out,
-// chosen by rendezvous among those that read the store; a second one that believes to be it
-// does no harm, since each write names the revision of the row that it replaces and a phase
-// is never taken back.
+// rollouts advances the roll-outs of pools for the fleet. One node does so for each roll-out,
+// chosen by rendezvous hashing among the nodes that read the store. A second node that considers
+// itself chosen does no harm, since each write names the revision that it replaces and a phase is
+// never reverted.
 type rollouts struct {
 	n *Node
 	// recorded are the rows as this node last read or wrote them.
@@ -55,8 +55,8 @@
 	}
 }
 
-// assigned returns the orders of the roll-outs that this node advances, and whether there are any at all.
-func (r *rollouts) assigned() (out []route.RolloutOrder, some bool) {
+// assigned returns the roll-outs that this node advances, and whether there are any at all.
+func (r *rollouts) assigned() (out []route.RolloutOrder, any bool) {
 	n := r.n
 	n.Lock()
 	known := n.Board().Rollouts(n.now())
@@ -69,15 +69,15 @@
 		members = n.gossipMembers()
 	}
 	for _, u := range known {
-		// A process alone, or one that is no member yet, has nobody to leave it to.
-		if home, ok := fleet.RendezvousOwner(members, uint64(u.Order.Revision)); !ok || home.ID == n.settings().Name {
+		// A node that is alone or not yet a member has no other node to leave it to.
+		if owner, ok := fleet.RendezvousOwner(members, uint64(u.Order.Revision)); !ok || owner.ID == n.settings().Name {
 			out = append(out, u.Order)
 		}
 	}
 	return out, true
 }
 
-// gossipMembers returns the nodes of a small fleet that are heard, this one included.
+// gossipMembers returns the live nodes of a small fleet, including this one.
 func (n *Node) gossipMembers() []fleet.Member {
 	out := []fleet.Member{{ID: n.settings().Name, Power: n.settings().Power}}
 	for _, e := range n.gossip.Live() {
@@ -88,8 +88,8 @@
 	return out
 }
 
-// advance takes a roll-out one step on. That a release is bad takes effect before it is
-// recorded, that it is good only once it is: the old targets are stopped at once then.
+// advance advances a roll-out by one step. A bad release takes effect before it is recorded. A good
+// one takes effect only after it is recorded, because the old targets are then stopped at once.
 func (r *rollouts) advance(ctx context.Context, o route.RolloutOrder) error {
 	recorded, known := r.recorded[o.Pool]
 	if !known {
@@ -100,7 +100,7 @@
 		r.recorded[o.Pool] = recorded
 	}
 	if recorded.Release == o.Release && recorded.Phase.Ended() {
-		r.set(o, recorded.Phase, "it is recorded")
+		r.setPhase(o, recorded.Phase, "it is recorded")
 		return nil
 	}
 	if recorded.Release != o.Release {
@@ -108,13 +108,13 @@
 			return err
 		}
 	}
-	r.set(o, route.RolloutTrial, "its beginning is recorded")
-	order, next, why := r.next(o.Pool)
+	r.setPhase(o, route.RolloutTrial, "its beginning is recorded")
+	order, next, reason := r.nextPhase(o.Pool)
 	if order.Revision != o.Revision {
 		return nil
 	}
 	if next != route.RolloutCompleted {
-		r.set(o, next, why)
+		r.setPhase(o, next, reason)
 	}
 	if !next.Ended() {
 		return nil
@@ -122,12 +122,12 @@
 	if err := r.record(ctx, o, next); err != nil {
 		return err
 	}
-	r.set(o, next, why)
+	r.setPhase(o, next, reason)
 	return nil
 }
 
-// record writes the state of a roll-out. After an error, also a conflict with another node's
-// write, the row is read anew at the next look.
+// record writes the state of a roll-out. After an error, including a conflict with another node's
+// write, the next round reads the row again.
 func (r *rollouts) record(ctx context.Context, o route.RolloutOrder, phase route.RolloutPhase) error {
 	s := RolloutStatus{Release: o.Release, Phase: phase, Revision: r.recorded[o.Pool].Revision}
 	revision, err := r.n.store.RecordRollout(ctx, o.Pool, s)
@@ -139,14 +139,14 @@
 	return nil
 }
 
-func (r *rollouts) set(o route.RolloutOrder, phase route.RolloutPhase, why string) {
+func (r *rollouts) setPhase(o route.RolloutOrder, phase route.RolloutPhase, reason string) {
 	r.n.Do(func(b *route.Board, now time.Time) []route.Action {
-		b.SetRollout(now, o, phase, why)
+		b.SetRollout(now, o, phase, reason)
 		return nil
 	})
 }
 
-func (r *rollouts) next(pool string) (route.RolloutOrder, route.RolloutPhase, string) {
+func (r *rollouts) nextPhase(pool string) (route.RolloutOrder, route.RolloutPhase, string) {
 	r.n.Lock()
 	defer r.n.Unlock()
 	return r.n.Board().NextPhase(r.n.now(), pool)
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -15,16 +15,17 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// sizeTargets is for looking at a size by hand: go test ./node -run NodeSize -size.targets 9756 -v
-var sizeTargets = flag.Int("size.targets", 4000, "targets of the pool whose state is weighed")
+// sizeTargets is set to inspect a pool size by hand: go test ./node -run NodeSize -size.targets
+// 9756 -v
+var sizeTargets = flag.Int("size.targets", 4000, "number of targets in the pool whose memory use is measured")
 
-// sizedNode is a node before a pool of many targets, without its loops.
+// sizedNode is a node with a pool of many targets, without its loops.
 type sizedNode struct {
 	*Node
-	now     time.Time
-	targets int
-	beats   int64
-	asked   int
+	now        time.Time
+	targets    int
+	heartbeats int64
+	placed     int
 }
 
 func newSizedNode(t *testing.T, targets int) *sizedNode {
@@ -43,31 +44,32 @@
 	return s
 }
 
-// read gives the node a reading of the list, in which every target shows a sign of life.
+// read applies a reading of the list in which every target has a new heartbeat.
 func (s *sizedNode) read() {
-	s.beats++
+	s.heartbeats++
 	list := make([]*route.Entry, 0, s.targets)
 	for i := range s.targets {
 		list = append(list, &route.Entry{
 			Seen:     route.ListedTarget{Addr: simEngineAddr(i), Labels: map[string]string{LabelPool: simPool, route.LabelZone: simZone(i)}},
 			Report:   route.Report{Incarnation: route.Incarnation(fmt.Sprintf("i-%08x@1786000000000", i)), Weights: map[string]string{simModel: "1"}, Slots: 24},
-			Revision: s.beats,
+			Revision: s.heartbeats,
 		})
 	}
 	s.list.intern(list)
 	s.applyListing(s.now, Listing{Targets: list}, false)
 }
 
-// ask places prompts for a second and tells of as many that others sent.
+// ask places prompts for one second and reports the given number of requests of others for each of
+// them.
 func (s *sizedNode) ask(own, others int) {
 	for k := range own {
-		s.asked++
-		id := fmt.Sprint("r", s.asked)
+		s.placed++
+		id := fmt.Sprint("r", s.placed)
 		m, _, _ := s.snapshot().Model(simModel)
 		req := route.Request{
 			ID: id, Revision: 1, Pool: simPool, Model: m, Deadline: s.now.Add(4 * time.Second), Aim: 600 * time.Millisecond,
 			Repeatable: true, MaxTries: 1, MaxTokens: 9, Bytes: 1000, SharesCache: true, QueueTime: time.Second,
-			Parts: []route.Part{{ID: fmt.Sprint("part-", (s.asked+k)%simParts), Tokens: 6300}, {ID: "own-" + id, Tokens: 2890}},
+			Parts: []route.Part{{ID: fmt.Sprint("part-", (s.placed+k)%simParts), Tokens: 6300}, {ID: "own-" + id, Tokens: 2890}},
 		}
 		s.Lock()
 		b := s.Board()
@@ -77,8 +79,8 @@
 			}
 		}
 		for k := range others {
-			addr := simEngineAddr((s.asked*others + k) % s.targets)
-			mark := route.TargetKey{Target: addr, Incarnation: route.Incarnation(fmt.Sprintf("i-%08x@1786000000000", (s.asked*others+k)%s.targets))}
+			addr := simEngineAddr((s.placed*others + k) % s.targets)
+			mark := route.TargetKey{Target: addr, Incarnation: route.Incarnation(fmt.Sprintf("i-%08x@1786000000000", (s.placed*others+k)%s.targets))}
 			b.AddPeerSends(s.now, []route.SentRequest{{Target: mark.Hash(), Prefill: 3000}})
 		}
 		b.Tick(s.now)
@@ -87,7 +89,7 @@
 	s.now = s.now.Add(time.Second)
 }
 
-// heap returns what is in use on the heap, in bytes.
+// heap returns the bytes in use on the heap.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -96,10 +98,10 @@
 	return m.HeapAlloc
 }
 
-// A node before thousands of targets, of which its requests use a few dozen, keeps little of each of
-// the others, and the same after ten minutes as after one. With the board's whole state of each and
-// every request of others noted at its target, a fleet of 986 nodes before 9,756 targets grew by the
-// second beyond the memory of its machines.
+// A node with thousands of targets, of which its requests use a few dozen, keeps little state for
+// each of the others, and no more after ten minutes than after one. With the board's full state for
+// each target, and every request of other nodes recorded at its target, a fleet of 986 nodes with
+// 9,756 targets kept growing beyond the memory of its machines.
 func TestNodeSize(t *testing.T) {
 	const perTarget, grown = 900, 2 << 20
 	before := heap()
@@ -128,8 +130,8 @@
 	runtime.KeepAlive(n)
 }
 
-// A target of a large pool that leaves the list or drains goes off the board with the next reading,
-// and one that others name as a holder comes on it.
+// A target of a large pool that leaves the list or drains is removed from the board with the next
+// reading, and one that others name as a holder is added.
 func TestLargePool(t *testing.T) {
 	n := newSizedNode(t, 2000)
 	n.read()
@@ -163,8 +165,9 @@
 	require.True(t, n.Board().HasTarget(holder.Seen.Addr))
 }
 
-// The list of a pool of thousands is read from the store by one relay, and taken by all others over
-// relays, also at a common start: each reading has twenty calls and some MB.
+// The list of a pool of thousands of targets is read from the store by one relay and passed on by
+// relays to all other nodes, also when all nodes start together: each reading takes twenty calls
+// and some MB.
 func TestLargeList(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -191,8 +194,8 @@
 	})
 }
 
-// Where no relay can be heard a node reads a large list itself: at once in a small fleet, which has none,
-// and after a while where it reaches no other node.
+// Without a relay a node reads a large list itself: at once in a small fleet, which has none, and
+// after a while if it reaches no other node.
 func TestLargeListAlone(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -207,7 +210,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newSimFleet(t, simSite{nodes: c.nodes, engines: 700, perSecond: 10, mbps: 20})
 				if c.cut {
-					f.net.silence(simNodeAddr(c.nodes - 1).Addr())
+					f.net.cutOff(simNodeAddr(c.nodes - 1).Addr())
 				}
 				f.start()
 				defer f.end()
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -11,8 +11,8 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// A node that starts and has heard of nobody yet shares by the nodes that its settings
-// name: the whole of what a target takes is not its own.
+// A node that starts and knows no other node yet divides shared limits by the number of seeds: it
+// must not take all connections that a target accepts.
 func TestConnsAtStart(t *testing.T) {
 	s := validSettings()
 	for _, addr := range []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"} {
@@ -31,8 +31,8 @@
 	require.Equal(t, 30, n.list.maxConns(e.Seen.Addr))
 }
 
-// A node that starts takes the fleet for as large as the holder of the lease recorded,
-// until it may know of all nodes itself.
+// A node that starts uses the fleet size recorded by the lease holder until it can know all nodes
+// itself.
 func TestFleetSizeRecorded(t *testing.T) {
 	const nodes, seeds = 195, 3
 	synctest.Test(t, func(t *testing.T) {
--- a/node/stop.go
+++ b/node/stop.go
@@ -7,18 +7,18 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The times of a planned stop.
+// Timeouts of a planned stop.
 const (
-	// balancerLag is how long the balancer may go on sending after readiness went
-	// off: it asks once a second and acts on the second miss.
+	// balancerLag is how long the load balancer may keep sending after the node stops being ready:
+	// it checks once a second and acts on the second failure.
 	balancerLag = 3 * time.Second
-	// stopMargin is how long before the end of the grace the process ends by itself.
+	// stopMargin is how long before the end of the grace period the process ends by itself.
 	stopMargin = 300 * time.Millisecond
 )
 
-// drain is the planned stop of [Node.Run]. Readiness goes off and requests are
-// served for the balancer's lag. Then new ones are refused as not run, since they
-// could outlast the grace, and answers in flight are finished.
+// drain is the planned stop at the end of [Node.Run]. The node stops being ready and serves
+// requests for the balancer's lag. Then it refuses new requests as not run, since they could
+// outlast the grace period, and finishes those in flight.
 func (n *Node) drain() {
 	n.stopping.Store(true)
 	n.events.Record(event.Event{Code: event.ProcessDraining})
--- a/node/stream.go
+++ b/node/stream.go
@@ -14,41 +14,41 @@
 
 func setLength(h http.Header, n int) { h.Set("Content-Length", strconv.Itoa(n)) }
 
-// eventEnd is what ends an event of a stream.
+// eventEnd terminates an event of a stream.
 var eventEnd = []byte("\n\n")
 
-// streamBuffer is the size of the buffer that events are read into, in bytes; events have some 60.
+// streamBuffer is the size of the read buffer in bytes; events have some 60.
 const streamBuffer = 2 << 10
 
-// stream passes an event stream on, whole events at a time, so that a broken one
-// can go on at another target after the last that left.
-func (f *forwarding) stream(a route.Attempt, resp *transport.Response, out route.Outcome, watch *time.Timer) route.Outcome {
+// stream forwards an event stream in complete events, so that a broken stream can resume at another
+// target after the last event sent.
+func (f *forwarding) stream(a route.Attempt, resp *transport.Response, out route.Outcome, timer *time.Timer) route.Outcome {
 	var (
-		held  []byte
-		buf   = make([]byte, streamBuffer)
-		gap   = f.maxGap(a)
-		first = true
+		buffered []byte
+		buf      = make([]byte, streamBuffer)
+		gap      = f.maxGap(a)
+		first    = true
 	)
 	for {
-		if watch.Stop(); gap > 0 {
-			watch.Reset(gap)
+		if timer.Stop(); gap > 0 {
+			timer.Reset(gap)
 		}
 		n, err := resp.Body.Read(buf)
-		held = append(held, buf[:n]...)
-		whole := completeEvents(held)
+		buffered = append(buffered, buf[:n]...)
+		complete := completeEvents(buffered)
 		if errors.Is(err, io.EOF) {
-			whole = len(held)
+			complete = len(buffered)
 		}
-		if first && whole > 0 {
-			// The head may come long before: only an event says that the prompt was read.
+		if first && complete > 0 {
+			// The header may arrive long before; only the first event shows that prefill is done.
 			first = false
 			f.n.Do(func(b *route.Board, now time.Time) []route.Action { return b.FirstToken(now, a.Request, a.ID) })
 		}
-		if werr := f.forwardEvents(resp, a, held[:whole]); werr != nil {
+		if werr := f.forwardEvents(resp, a, buffered[:complete]); werr != nil {
 			out.Kind, out.Detail = route.OutcomeBroken, "the caller left: "+werr.Error()
 			return out
 		}
-		held = append(held[:0], held[whole:]...)
+		buffered = append(buffered[:0], buffered[complete:]...)
 		switch {
 		case errors.Is(err, io.EOF):
 			if !f.started {
@@ -63,7 +63,7 @@
 	}
 }
 
-// completeEvents returns the length of the whole events at the beginning of data.
+// completeEvents returns the length of the complete events at the beginning of data.
 func completeEvents(data []byte) int {
 	end := bytes.LastIndex(data, eventEnd)
 	if end < 0 {
@@ -72,29 +72,29 @@
 	return end + len(eventEnd)
 }
 
-// maxGap is how long a stream that can go on elsewhere may pause; zero means that it is left alone.
+// maxGap returns the maximum pause of a stream that can resume elsewhere; zero means no limit.
 func (f *forwarding) maxGap(a route.Attempt) time.Duration {
 	if !f.req.Resumable || a.Number >= f.req.MaxTries {
 		return 0
 	}
-	return max(2*time.Duration(f.v.route.MaxGap), maxSilence)
+	return max(2*time.Duration(f.v.route.MaxGap), maxIdleTimeout)
 }
 
-// writeHeader writes the head of an answer.
+// writeHeader writes the header of a response to the caller.
 func (f *forwarding) writeHeader(resp *transport.Response) {
 	f.started = true
 	copyHeader(f.v.w.Header(), resp.Header)
 	f.v.w.WriteHeader(resp.Status)
 }
 
-// forwardEvents writes whole events to the caller.
+// forwardEvents writes complete events to the caller.
 func (f *forwarding) forwardEvents(resp *transport.Response, a route.Attempt, events []byte) error {
 	if len(events) == 0 {
 		return nil
 	}
 	if !f.started {
 		f.writeHeader(resp)
-		f.firstAfter = f.n.now.Since(f.v.begun)
+		f.firstAfter = f.n.now.Since(f.v.receivedAt)
 		f.n.counters.firstPart(f.firstAfter)
 	}
 	for line := range bytes.Lines(events) {
--- a/node/watch.go
+++ b/node/watch.go
@@ -12,19 +12,19 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The pauses after a failed call to the store, which grow from the first to the last.
-// A node that hears a relay makes the long one at once: relays try for it, and take what
-// they can't read from each other, so that it hears of the store's return from them.
+// The backoff after failed store calls. A node whose relay responds uses the long pause at once:
+// the relays keep trying and share what they read, so such a node learns of the store's return from
+// them.
 const (
 	minRetry     = 60 * time.Millisecond
 	maxRetry     = 600 * time.Millisecond
 	relayedRetry = 2400 * time.Millisecond
 )
 
-// backoff grows the pause after failures.
+// backoff computes growing pauses after failures.
 type backoff struct{ next time.Duration }
 
-// failed returns the pause after a failure of a node that hears a relay or does not.
+// failed returns the pause after a failure; relayed is set if a relay responds to the node.
 func (b *backoff) failed(relayed bool) time.Duration {
 	if relayed {
 		b.next = maxRetry
@@ -36,8 +36,7 @@
 
 func (b *backoff) ok() { b.next = 0 }
 
-// watchLoop follows the declaration: each answer brings what changed or confirms
-// that nothing did.
+// watchLoop watches the declaration. Each answer brings changes or confirms that there are none.
 func (n *Node) watchLoop(ctx context.Context) {
 	var (
 		cursor int64
@@ -62,7 +61,7 @@
 		case err != nil:
 			n.setStoreState(err)
 			n.fetchFromPeers(ctx)
-			if !pause(ctx, n.jitter(retry.failed(n.relays.hearsRelay()))) {
+			if !pause(ctx, n.jitter(retry.failed(n.relays.relayResponds()))) {
 				return
 			}
 			continue
@@ -73,21 +72,21 @@
 		n.applyChanges(begun, changes)
 		n.applyNewestFromWatch(begun, before, cursor == 0, changes)
 		if changes.Rejected != nil {
-			// Others may have a valid one that this node was too late for.
+			// This node may have been too late for a valid one that others have.
 			n.fetchFromPeers(ctx)
 		}
 		if cursor == changes.Cursor && n.now.Since(begun) < hold/2 {
-			// The store did not hold the call; without a pause it would be asked without end.
+			// The store did not hold the call; without a pause this loop would spin.
 			pause(ctx, n.jitter(hold/2))
 		}
 		cursor = changes.Cursor
 	}
 }
 
-// checkEra looks whether the store came back from an older copy since the last look. What this
-// node wrote there may be gone: the lease is read before it is relied on, since its position is
-// of another era; what is held back is recorded again here, and notes of the lease with its next
-// renewal. Targets' entries may lack as after any other outage.
+// checkEra handles the restore of the store from an older copy since the last call. What this node
+// wrote may be lost. The lease is read again before use, since its revision is of another era. Held
+// requests are recorded again here, and the record in the lease with its next renewal. Entries of
+// targets may be missing as after any other outage.
 func (n *Node) checkEra() {
 	era := n.store.Era()
 	old := n.era.Swap(era)
@@ -99,14 +98,14 @@
 	n.recordWake.wake()
 }
 
-// unknownEra is the era of the store before its first answer.
+// unknownEra is the era before the store's first answer.
 const unknownEra = -1
 
-// followCheckInterval is how often a node to which a relay tells what the store says looks
-// whether it still does: that changes with reports to relays alone.
+// followCheckInterval is how often a node that follows a relay checks whether it still does, which
+// changes only with reports to relays.
 const followCheckInterval = reportInterval
 
-// watchHold is how long a watch is held.
+// watchHold returns the long-poll duration of a watch.
 func (n *Node) watchHold() time.Duration {
 	if n.relays.isRelay() {
 		return fraction(n.settings().Bounds.Revoke, relayWatchFraction)
@@ -114,7 +113,7 @@
 	return fraction(n.settings().Bounds.Revoke, watchFraction)
 }
 
-// applyChanges puts the configuration in force that a watch brought, which began at begun.
+// applyChanges applies the result of a watch that began at begun.
 func (n *Node) applyChanges(begun time.Time, c Changes) {
 	if c.Rejected != nil {
 		n.events.Record(event.Event{Code: event.ConfigRejected, Detail: c.Rejected.Error()})
@@ -126,12 +125,12 @@
 	for _, o := range c.Rollouts {
 		n.Board().StartRollout(n.now(), o)
 	}
-	// What could not be read is none: the last valid configuration stays in force.
+	// A configuration that could not be read does not count: the last valid one stays in force.
 	n.adoption.Confirm(begun, n.adoption.Revision())
 	n.Unlock()
 }
 
-// adopt serves under a configuration if it is newer than the present one and compiles.
+// adopt puts a configuration in force if it compiles and is newer than the present one.
 func (n *Node) adopt(d Declared, source string) {
 	d.Config.Requests.RetryBudget = n.settings().Bounds.RetryRatio
 	d.Config.Requests.RetryReserve = n.settings().Bounds.RetryReserve
@@ -162,15 +161,15 @@
 	}
 }
 
-// The policy that the installation's configuration leaves to the system.
+// Placement settings that the installation's configuration leaves to the node.
 const (
-	// recomputeWeight is the price of a prefill second in seconds of waiting. A
-	// thousand tokens read again cost a third of a request's benefit, and an engine
-	// reads them in some 18 ms, while an answer 300 ms late loses two thirds.
+	// recomputeWeight is the cost of a second of prefill in seconds of waiting. Recomputing a
+	// thousand tokens costs a third of a request's benefit, and an engine does it in some 18 ms,
+	// while an answer that is 300 ms late loses two thirds.
 	recomputeWeight = 1.0
 )
 
-// setStoreState notes whether the store answers.
+// setStoreState records whether the store answers.
 func (n *Node) setStoreState(err error) {
 	n.Lock()
 	defer n.Unlock()
@@ -185,26 +184,26 @@
 	}
 }
 
-// overdue reports whether a newer configuration is known for so long that this node reads
-// it from the store itself, also where a relay tells what the store says: whatever keeps
-// the relays from passing it on, it has the rest of the apply bound for that.
+// overdue reports whether a newer configuration has been known for so long that this node reads it
+// from the store itself, even if it follows a relay. If something keeps the relays from passing it
+// on, the rest of the apply bound is left for reading it.
 func (n *Node) overdue() bool {
 	s := n.configStatus()
 	return s.behind && s.age > fraction(n.settings().Bounds.Apply, overdueFraction)
 }
 
-// configStatus is what a node may do under the configuration that it has.
+// configStatus is what the node may do under its present configuration.
 type configStatus struct {
-	// age is how long ago nothing newer was in force, as far as is known.
+	// age is the time since the configuration was last known to be the newest.
 	age time.Duration
-	// behind says that a newer one is known, outdated that it has been in force for so
-	// long, as far as is known, that nothing may be served by this one.
+	// behind is set if a newer configuration is known. outdated is set if it may have been in force
+	// for so long that nothing may be served under the present one.
 	behind, outdated bool
-	// keys says that requests with a key may be served.
+	// keysConfirmed is set if requests with a key may be served.
 	keysConfirmed bool
 }
 
-// configStatus returns what the node may do under its configuration now.
+// configStatus returns the current status of the configuration.
 func (n *Node) configStatus() configStatus {
 	n.Lock()
 	defer n.Unlock()
@@ -218,7 +217,8 @@
 	return s
 }
 
-// sweepLoop closes connections that are of no more use.
+// sweepLoop closes connections that are idle, slow or no longer needed, and logs suspensions of the
+// VM.
 func (n *Node) sweepLoop(ctx context.Context) {
 	began := n.suspendedTime()
 	for pause(ctx, sweepInterval) {
@@ -232,12 +232,13 @@
 	}
 }
 
-// suspendedTime is how far the node's clock is ahead of the steady one, which stands still while the VM is suspended.
+// suspendedTime returns how far the node's clock is ahead of the monotonic clock, which stops while
+// the VM is suspended.
 func (n *Node) suspendedTime() time.Duration { return time.Until(n.now()) }
 
-// minSuspendedLogged is the least time suspended that is logged.
+// minSuspendedLogged is the shortest suspension that is logged.
 const minSuspendedLogged = 50 * time.Millisecond
 
-// sweepInterval is the time between two looks for idle and slow connections, which may
-// stay longer by that.
+// sweepInterval is the time between two checks for idle and slow connections, which may stay open
+// longer by that.
 const sweepInterval = time.Second
--- a/node/weights_updater.go
+++ b/node/weights_updater.go
@@ -13,52 +13,54 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// The times of the duty.
+// Intervals and timeouts of the weights updater.
 const (
-	// leaseTime is how long one write of the lease lasts; it is renewed at half of it.
+	// leaseTime is the duration of the lease after each write; it is renewed at half of it.
 	leaseTime = 1200 * time.Millisecond
-	// orderMargin is how much of the lease must be left for an order to be sent.
+	// orderMargin is the remaining lease time required to send an order.
 	orderMargin = 300 * time.Millisecond
-	// weightsInterval is the time between two rounds while targets are being changed.
+	// weightsInterval is the time between two rounds while an update is in progress.
 	weightsInterval = 30 * time.Millisecond
-	// idleInterval is the time between two rounds while nothing is to do.
+	// idleInterval is the time between two rounds while there is nothing to do.
 	idleInterval = time.Second
-	// deferToLastHolder is how long a node that did not hold the lease last leaves new work to the one that did.
+	// deferToLastHolder is how long other nodes leave new work to the last holder of the lease.
 	deferToLastHolder = 700 * time.Millisecond
-	// leaseReadInterval is the time between two reads of the lease while another works under it.
+	// leaseReadInterval is the time between two reads of the lease while another node holds it.
 	leaseReadInterval = time.Second
-	// loadedTTL is how long peers are told of a target's new weights; by then the list says so.
+	// loadedTTL is how long a target's new weights are announced to peers; after that the list has
+	// them.
 	loadedTTL = 5 * time.Second
 )
 
-// leaseName is the lease's key in the store.
+// leaseName is the key of the lease in the store.
 const leaseName = "weights"
 
-// weightsUpdater is the node's part in bringing targets to newly named weights.
+// weightsUpdater brings targets to newly named weights while this node holds the lease.
 type weightsUpdater struct {
 	n    *Node
 	wake chan struct{}
-	// calls are the orders and looks under way.
+	// calls tracks the orders and state reads in progress.
 	calls sync.WaitGroup
 
-	// mu guards the fields below; it is taken inside the node's lock, never around it.
+	// mu guards the fields below. It may be acquired while the node's lock is held, but not the
+	// other way round.
 	mu     sync.Mutex
 	lease  *fleet.Lease
-	roll   *fleet.RollingUpdate
+	update *fleet.RollingUpdate
 	states map[route.TargetKey]TargetState
-	// looking are the targets that are being read.
-	reading map[route.TargetKey]bool
-	holds   []route.TargetKey
-	loaded  []loadedNotice
-	// workSince is when work was first seen that nobody has done.
+	// reading is the set of targets whose state is being read.
+	reading     map[route.TargetKey]bool
+	heldTargets []route.TargetKey
+	loaded      []loadedNotice
+	// workSince is when outdated targets were first seen; zero while there are none.
 	workSince time.Time
-	// awaited is true once it was logged that another holds the lease.
+	// waitLogged is set once the wait for another lease holder has been logged.
 	waitLogged bool
 	readAt     time.Time
-	held       bool
+	holdsLease bool
 }
 
-// loadedNotice is a word on a target's weights and when it was first said.
+// loadedNotice is an update on a target's weights and the time it was first sent.
 type loadedNotice struct {
 	route.WeightsUpdate
 	at time.Time
@@ -68,23 +70,24 @@
 	return &weightsUpdater{
 		n:    n,
 		wake: make(chan struct{}, 1),
-		// The next holder waits for longer than the bound between two holders' orders.
+		// The next holder waits for longer than the lease bound, the minimum time between the
+		// orders of two holders.
 		lease:   fleet.NewLease(leaseName, n.settings().Name+"@"+n.settings().Peers.Addr().String(), leaseTime, n.settings().Bounds.Lease+orderMargin),
-		roll:    fleet.NewRollingUpdate(n.rollSettings()),
+		update:  fleet.NewRollingUpdate(n.updateSettings()),
 		states:  make(map[route.TargetKey]TargetState),
 		reading: make(map[route.TargetKey]bool),
 	}
 }
 
-func (n *Node) rollSettings() fleet.UpdateSettings {
+func (n *Node) updateSettings() fleet.UpdateSettings {
 	s := fleet.DefaultUpdateSettings()
-	if n.off.Has(route.Pairs) {
+	if n.disabled.Has(route.Pairs) {
 		s.MaxConcurrent, s.MaxConcurrentFraction = 1, 0
 	}
 	return s
 }
 
-// notify makes the loop look at once.
+// notify wakes the loop.
 func (d *weightsUpdater) notify() {
 	select {
 	case d.wake <- struct{}{}:
@@ -92,36 +95,37 @@
 	}
 }
 
-// announcement returns what peers are to hear of the duty.
+// announcement returns what the node announces to peers: the held targets, which get no new work,
+// and recently loaded weights.
 func (d *weightsUpdater) announcement() ([]route.TargetKey, []route.WeightsUpdate) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.n.now()
-	var words []route.WeightsUpdate
+	var updates []route.WeightsUpdate
 	for _, w := range d.loaded {
 		if now.Sub(w.at) < loadedTTL {
-			words = append(words, w.WeightsUpdate)
+			updates = append(updates, w.WeightsUpdate)
 		}
 	}
-	return d.holds, words
+	return d.heldTargets, updates
 }
 
-// loop reads what the last holder of the lease recorded, and then does the duty while
-// there is work and this node holds the lease.
+// loop reads the record of the last lease holder. It then updates targets whenever some are
+// outdated and this node holds the lease.
 func (d *weightsUpdater) loop(ctx context.Context) {
 	defer d.calls.Wait()
 	var retry backoff
-	// A relay tells what the record says, and more.
+	// A relay passes on the contents of the record and newer data.
 	for !d.n.relays.followsRelay() && !d.readLease(ctx) {
-		if !pause(ctx, d.n.jitter(retry.failed(d.n.relays.hearsRelay()))) {
+		if !pause(ctx, d.n.jitter(retry.failed(d.n.relays.relayResponds()))) {
 			return
 		}
 	}
 	for ctx.Err() == nil {
 		wait := idleInterval
 		if !d.leftToRelays() {
-			if named, targets := d.pendingWork(); len(targets) > 0 && d.hasOutdated(named, targets) {
-				wait = d.round(ctx, named, targets)
+			if newest, targets := d.pendingWork(); len(targets) > 0 && d.hasOutdated(newest, targets) {
+				wait = d.round(ctx, newest, targets)
 			} else {
 				d.finish(ctx)
 			}
@@ -136,28 +140,28 @@
 	}
 }
 
-// leftToRelays reports whether the work is left to the relays of a large fleet: each try
-// for the lease is a call to the store.
+// leftToRelays reports whether the update is left to the relays of a large fleet, since each
+// attempt to acquire the lease is a store call.
 func (d *weightsUpdater) leftToRelays() bool {
 	if !d.n.relays.followsRelay() {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.held
+	return !d.holdsLease
 }
 
-// upToDate reports whether nothing is under way and the list has the newest weights everywhere, so that the
-// targets need not be gone through one by one.
+// upToDate reports whether no update is in progress and every target on the list has the newest
+// weights. It avoids building the target list.
 func (d *weightsUpdater) upToDate() bool {
 	newest := d.n.newestWeights()
 	d.mu.Lock()
-	under := d.roll.Active() || !d.workSince.IsZero()
+	updating := d.update.Active() || !d.workSince.IsZero()
 	d.mu.Unlock()
-	return !under && !d.n.list.anyWeights(func(model, weights string) bool { return route.OlderWeights(weights, newest[model]) })
+	return !updating && !d.n.list.anyWeights(func(model, weights string) bool { return route.OlderWeights(weights, newest[model]) })
 }
 
-// anyWeights reports whether some target has weights of a kind.
+// anyWeights reports whether match holds for the weights of some target.
 func (l *targetList) anyWeights(match func(model, weights string) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,12 +175,12 @@
 	return false
 }
 
-// pendingWork returns the newest weights of each model and the targets that serve one; there are none
-// while all is quiet.
+// pendingWork returns the newest weights of each model and the targets that serve a model. Both are
+// empty while all targets are up to date.
 func (d *weightsUpdater) pendingWork() (map[string]string, []fleet.UpdateTarget) {
-	named := make(map[string]string)
+	newest := make(map[string]string)
 	if d.upToDate() {
-		return named, nil
+		return newest, nil
 	}
 	var out []fleet.UpdateTarget
 	list := d.n.list.get()
@@ -186,74 +190,76 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range list {
-		mark := route.TargetKey{Target: t.Seen.Addr, Incarnation: t.Report.Incarnation}
+		key := route.TargetKey{Target: t.Seen.Addr, Incarnation: t.Report.Incarnation}
 		if t.Report.Leaving {
 			continue
 		}
-		state, asked := d.states[mark]
+		state, known := d.states[key]
 		for model, weights := range t.Report.Weights {
-			named[model] = b.NewestWeights(model)
-			rt := fleet.UpdateTarget{
+			newest[model] = b.NewestWeights(model)
+			target := fleet.UpdateTarget{
 				Addr: t.Seen.Addr, Incarnation: t.Report.Incarnation, Model: model, Weights: weights,
 				Orders: fleet.OrdersUnknown,
 			}
-			if !d.n.off.Has(route.LeastLoaded) {
-				rt.Load = b.InFlight(t.Seen.Addr)
+			if !d.n.disabled.Has(route.LeastLoaded) {
+				target.Load = b.InFlight(t.Seen.Addr)
 			}
-			if asked {
-				rt.Orders, rt.Busy = state.Orders, state.Busy
-				if route.OlderWeights(rt.Weights, state.Weights[model]) {
-					rt.Weights = state.Weights[model]
+			if known {
+				target.Orders, target.Busy = state.Orders, state.Busy
+				if route.OlderWeights(target.Weights, state.Weights[model]) {
+					target.Weights = state.Weights[model]
 				}
 			}
-			if w := b.WeightsOf(mark, model); route.OlderWeights(rt.Weights, w) {
-				rt.Weights = w
+			if w := b.WeightsOf(key, model); route.OlderWeights(target.Weights, w) {
+				target.Weights = w
 			}
-			out = append(out, rt)
+			out = append(out, target)
 		}
 	}
-	return named, out
+	return newest, out
 }
 
-// hasOutdated reports whether some target has older weights than are named.
-func (d *weightsUpdater) hasOutdated(named map[string]string, targets []fleet.UpdateTarget) bool {
+// hasOutdated reports whether some target has weights older than the newest, or an update is in
+// progress.
+func (d *weightsUpdater) hasOutdated(newest map[string]string, targets []fleet.UpdateTarget) bool {
 	for _, t := range targets {
-		if route.OlderWeights(t.Weights, named[t.Model]) {
+		if route.OlderWeights(t.Weights, newest[t.Model]) {
 			return true
 		}
 	}
-	return d.roll.Active()
+	return d.update.Active()
 }
 
-// finish ends the work; each node reads the lease once after it, so that it knows
-// from when to count should the holder be lost before the next work.
+// finish ends an update. Every node then reads the lease once, so that it knows from when to count
+// the takeover time if the holder is lost before the next update.
 func (d *weightsUpdater) finish(ctx context.Context) {
 	d.mu.Lock()
-	was := !d.workSince.IsZero()
+	updating := !d.workSince.IsZero()
 	d.workSince = time.Time{}
 	d.waitLogged = false
-	d.holds = nil
+	d.heldTargets = nil
 	clear(d.states)
 	d.mu.Unlock()
-	if was && d.readLease(ctx) {
+	if updating && d.readLease(ctx) {
 		d.n.updateBoard()
 	}
 }
 
-// round takes or renews the lease and does what is due. It returns the pause until the next.
-func (d *weightsUpdater) round(ctx context.Context, named map[string]string, targets []fleet.UpdateTarget) time.Duration {
+// round acquires or renews the lease and runs the next update steps. It returns the pause until the
+// next round.
+func (d *weightsUpdater) round(ctx context.Context, newest map[string]string, targets []fleet.UpdateTarget) time.Duration {
 	now := d.n.now()
 	d.mu.Lock()
 	if d.workSince.IsZero() {
 		d.workSince = now
 	}
-	mine := d.held
-	waiting := !mine && now.Sub(d.workSince) < deferToLastHolder && d.heldByOther()
-	watching := !mine && now.Sub(d.readAt) < leaseReadInterval
+	holdsLease := d.holdsLease
+	waiting := !holdsLease && now.Sub(d.workSince) < deferToLastHolder && d.heldByOther()
+	watching := !holdsLease && now.Sub(d.readAt) < leaseReadInterval
 	holds := d.lease.HoldsFor(now, leaseTime/2)
 	d.mu.Unlock()
 	switch {
-	case d.n.stopping.Load() && !d.roll.Active():
+	case d.n.stopping.Load() && !d.update.Active():
 		return idleInterval
 	case waiting:
 		return deferToLastHolder / 4
@@ -263,11 +269,11 @@
 		d.logWaiting()
 		return leaseReadInterval / 4
 	}
-	d.runSteps(ctx, named, targets)
+	d.runSteps(ctx, newest, targets)
 	return weightsInterval
 }
 
-// logWaiting logs once for each piece of work which holder this node waits for.
+// logWaiting logs, once for each update, which lease holder this node waits for.
 func (d *weightsUpdater) logWaiting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -279,13 +285,15 @@
 	d.n.events.Record(event.Event{Code: event.LeaseAwaited, Detail: fmt.Sprintf("%s, held last by %q with fence %d", leaseName, id, fence)})
 }
 
-// heldByOther reports whether another node held the lease last; the caller holds the lock.
+// heldByOther reports whether another node held the lease last, or the lease has not been read. The
+// caller holds d.mu.
 func (d *weightsUpdater) heldByOther() bool {
 	id, _ := d.lease.Holder()
 	return id != "" || d.readAt.IsZero()
 }
 
-// readLease reads the lease's row, and takes what its holder recorded of the newest weights.
+// readLease reads the lease row and the rows beside it, and applies the newest weights, the fleet
+// size and the crashes recorded there.
 func (d *weightsUpdater) readLease(ctx context.Context) bool {
 	part, sort := d.lease.Key()
 	rows, err := d.n.store.Range(ctx, part, "", leaseRowLimit)
@@ -298,18 +306,18 @@
 	}
 	d.mu.Lock()
 	d.readAt = d.n.now()
-	var unread error
+	var invalid error
 	if err == nil {
-		unread = d.lease.HandleRead(d.n.now(), row, ok)
+		invalid = d.lease.HandleRead(d.n.now(), row, ok)
 	}
 	note, nodes := d.lease.Note(), d.lease.Processes()
 	d.mu.Unlock()
 	if err != nil {
-		d.n.log.Debug("the lease was not read", "error", err)
+		d.n.log.Debug("reading the lease failed", "error", err)
 		return false
 	}
-	if unread != nil {
-		d.n.log.Warn("the lease's row counts as another's", "error", unread)
+	if invalid != nil {
+		d.n.log.Warn("invalid lease row, treated as held by another node", "error", invalid)
 	}
 	d.applyRecord(note)
 	d.n.applyRecordedSize(nodes)
@@ -319,10 +327,10 @@
 	return true
 }
 
-// leaseRowLimit is how many rows stand beside the lease, itself among them: one call reads them all.
+// leaseRowLimit is the maximum number of rows in the lease's partition; one call reads them all.
 const leaseRowLimit = 4
 
-// decodeRow returns the row with a key.
+// rowOf returns the row with a sort key.
 func rowOf(rows []fleet.Row, sort string) (fleet.Row, bool) {
 	i := slices.IndexFunc(rows, func(r fleet.Row) bool { return r.Sort == sort })
 	if i < 0 {
@@ -331,12 +339,12 @@
 	return rows[i], true
 }
 
-// acquireLease takes or renews the lease and reports whether it is held.
+// acquireLease acquires or renews the lease and reports whether this node holds it.
 func (d *weightsUpdater) acquireLease(ctx context.Context) bool {
 	d.mu.Lock()
 	known := d.lease.Settled()
 	d.mu.Unlock()
-	if !known || !d.held {
+	if !known || !d.holdsLease {
 		if !d.readLease(ctx) {
 			return false
 		}
@@ -356,24 +364,24 @@
 		settled := d.lease.Settled()
 		d.mu.Unlock()
 		if !settled {
-			// The answer was lost: reading back at once tells what became of the
-			// write while the lease it took still lasts.
+			// The answer to the write was lost. Reading the row back at once shows whether it
+			// succeeded while the lease still lasts.
 			d.readLease(ctx)
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	holds := d.lease.HoldsFor(d.n.now(), orderMargin)
-	if holds == d.held {
+	if holds == d.holdsLease {
 		return holds
 	}
-	d.held = holds
+	d.holdsLease = holds
 	if holds {
 		d.n.events.Record(event.Event{Code: event.LeaseTaken, Detail: fmt.Sprintf("%s, fence %d", leaseName, d.lease.Fence())})
 		return true
 	}
-	d.roll.Reset()
-	d.holds = nil
+	d.update.Reset()
+	d.heldTargets = nil
 	d.n.events.Record(event.Event{Code: event.LeaseLost, Detail: leaseName})
 	return false
 }
--- a/router/router.go
+++ b/router/router.go
@@ -161,7 +161,7 @@
 	return func(r *Router) { r.log = l }
 }
 
-// peerCallTime bounds one exchange with a peer.
+// peerCallTimeout bounds one exchange with a peer.
 const peerCallTime = time.Second
 
 // New returns a router with valid settings, which does nothing before [Router.Run].
