--- a/route/board.go
+++ b/route/board.go
@@ -207,7 +207,7 @@
 		crashes:       newCrashTracker(),
 		reserve:       noTargetIndex{},
 		rollouts:      make(map[string]*rollout),
-		exposure:      defaultExposure * exposurePart,
+		exposure:      defaultExposure * exposureFraction,
 		pendingFills:  make(map[fillKey]pendingFill),
 		unlisted:      make(map[netip.AddrPort]unlistedHints),
 	}
--- a/route/crash.go
+++ b/route/crash.go
@@ -14,40 +14,42 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// A request may end each target that begins to run it, by a fault of the target's that its text
-// brings out. Its copies come one after another, to whichever process; each takes a
-// target with it and all that runs there. So the processes of a fleet count together the targets
-// that ended under copies of one request, told apart by [Fingerprint], and hold back one under
-// which enough have ended. Without it 37 targets of a service of nine ended in half a minute, and up to
-// half of all other requests failed; with it three and those that copies under way reach (TestCrashFleetGuilty).
+// A request can crash every target that starts to run it, through a fault of the target that its
+// text triggers. Clients resend it, to any process, and each copy takes down a target along with
+// everything else that runs there. The processes of a fleet therefore count together how many
+// targets crashed while running copies of one request, identified by [Fingerprint], and hold a
+// request once enough have crashed. Without this, 37 targets of a service with nine crashed within
+// half a minute, and up to half of all other requests failed. With it, three crash, plus those that
+// copies already in flight reach.
 //
-// A target that ends takes along whatever it runs, so a request that runs at one is only a
-// suspect. What keeps the innocent from being held back:
-//   - an end counts where the target is known to have ended, not its connection alone;
-//   - an answer that had begun says that the target bears the request: such an end counts half, and
-//     none once the answer had been coming for a while;
-//   - a request that is answered anywhere ends no targets: that clears it, everywhere.
-
-// CrashSettings bound what requests may do to targets.
+// A crashing target takes down everything that it runs, so a request that was running there is only
+// a suspect. These rules keep innocent requests from being held:
+//   - a crash counts only if the target is known to have crashed, not merely its connection;
+//   - if the answer had begun, the target probably survives the request, so the crash counts half,
+//     and not at all once the answer had been streaming for a while;
+//   - a request that is answered anywhere does not crash targets, which clears it on all processes.
+
+// CrashSettings configures when requests that crash targets are held.
 type CrashSettings struct {
-	// Targets is how many targets may end under copies of a request before it is held back. Ends
-	// of answers that had begun count half.
+	// Targets is how many targets may crash while running copies of a request before it is held.
+	// Crashes after the answer had begun count half.
 	Targets int
-	// Hold is how long it is held back after the last of them; each further one that ends
-	// doubles it, up to maxHoldDoublings times.
+	// Hold is how long a request is held after the last crash. Each further crash doubles it, up to
+	// maxHoldDoublings times.
 	Hold time.Duration
-	// Kept is how many requests are remembered under which targets ended.
+	// MaxRequests bounds the suspect requests that are remembered.
 	MaxRequests int
 }
 
-// DefaultCrashSettings returns the bounds that hold unless others are set: three ends, since two
-// in a row happen to requests beside a guilty one; two minutes, after which one more end holds
-// the request back again; and 1,024 requests, which is what runs at 40 targets of 24 slots that end together.
+// DefaultCrashSettings returns the default settings. Three crashes are required because two in a
+// row also happen to requests that run beside a guilty one. After the two minutes of a hold, one
+// more crash holds the request again. 1,024 requests is what 40 targets with 24 slots run when they
+// crash together.
 func DefaultCrashSettings() CrashSettings {
 	return CrashSettings{Targets: 3, Hold: 2 * time.Minute, MaxRequests: 1024}
 }
 
-// Check returns the fault of the settings.
+// Check returns an error if a setting is out of range.
 func (s CrashSettings) Check() error {
 	switch {
 	case s.Targets < minCrashTargets || s.Targets > maxCrashTargets:
@@ -55,77 +57,79 @@
 	case s.Hold < time.Second || s.Hold > time.Hour:
 		return errs.Errorf("a request is held back for %s, must be from 1s to 1h", s.Hold)
 	case s.MaxRequests < 1:
-		return errs.Errorf("%d requests are remembered, must be one at least", s.MaxRequests)
+		return errs.Errorf("%d suspect requests are remembered, must be at least 1", s.MaxRequests)
 	}
 	return nil
 }
 
-// The bounds of [CrashSettings.Targets]: one end alone says nothing, and of more than maxCrashesPerRequest none are remembered.
+// Bounds of [CrashSettings.Targets]. One crash alone is no evidence, and at most
+// maxCrashesPerRequest crashes are remembered.
 const (
 	minCrashTargets = 2
 	maxCrashTargets = maxCrashesPerRequest / 2
 )
 
-// The times of the count.
+// Time constants and bounds of crash tracking.
 const (
-	// suspectTTL is how long after the last end a request is remembered.
+	// suspectTTL is how long a request is remembered after its last crash.
 	suspectTTL = 10 * time.Minute
-	// maxHoldDoublings bounds how often the time of a hold is doubled.
+	// maxHoldDoublings bounds how often the hold time is doubled.
 	maxHoldDoublings = 2
-	// crashConfirmWindow is how long it may take until a target is known to have ended: its new start
-	// is listed within some heartbeats.
+	// crashConfirmWindow is the time within which a broken attempt is attributed to a crash. The
+	// restarted target appears on the list within a few heartbeats.
 	crashConfirmWindow = 10 * time.Second
-	// survivalTime is how long an answer must have been coming to show that the target bears
-	// the request: one that ends what begins to run it does so within some 0.15 s.
+	// survivalTime is how long an answer must have been streaming to show that the target survives
+	// the request. Requests that crash targets do so within about 0.15 s.
 	survivalTime = time.Second
-	// maxCrashesPerRequest bounds how many ends of one request are remembered.
+	// maxCrashesPerRequest bounds the crashes remembered per request.
 	maxCrashesPerRequest = 16
-	// maxAnsweredKept is how many requests that were answered are remembered; a node sees some 36 a second.
-	maxAnsweredKept = 2048
+	// maxAnswered bounds the answered requests that are remembered. A node sees about 36 a
+	// second.
+	maxAnswered = 2048
 )
 
-// crash is the end of a target under a request.
+// crash is the crash of a target while it ran a request.
 type crash struct {
 	at time.Time
-	// begun says that a part of the answer had come.
+	// begun is set if a part of the answer had arrived.
 	begun bool
 }
 
-// suspectRequest is a request under which targets ended.
+// suspectRequest is a request that targets ran when they crashed.
 type suspectRequest struct {
 	crashes map[TargetKey]crash
-	// newest is when the last of them ended.
+	// newest is the time of the latest crash.
 	newest time.Time
-	// org and pool are the request's, empty where no copy of it came here.
+	// org and pool are those of the request; they are empty if this process received no copy of it.
 	org, pool string
-	// own is true where this process saw the newest end.
+	// own is set if this process observed the latest crash.
 	own bool
-	// noted is true once it was logged that the request is held back.
+	// holdLogged is set once an event has reported that the request is held.
 	holdLogged bool
 }
 
-// brokenAttempt is an attempt that broke off at a target which may have ended.
+// brokenAttempt is an attempt that broke off at a target which may have crashed.
 type brokenAttempt struct {
 	fingerprint Fingerprint
-	mark        TargetKey
+	target      TargetKey
 	org, pool   string
 	crash
 }
 
-// crashTracker is what a process knows of targets that ended under requests.
+// crashTracker holds what a process knows of targets that crashed while running requests.
 type crashTracker struct {
 	CrashSettings
 	suspects map[Fingerprint]*suspectRequest
 	broken   map[netip.AddrPort][]brokenAttempt
-	// facts are told to the other processes.
+	// updates are the facts shared with the other processes.
 	updates *Feed[CrashKey, crash]
-	// answered are requests that were answered lately.
+	// answered holds the requests that were answered recently.
 	answered *generationalMap[Fingerprint, time.Time]
-	// seen is called when this process saw something that the others do not know yet.
+	// onChange is called when this process observed something that the others do not know yet.
 	onChange func()
-	// swept is when old facts were last forgotten.
+	// swept is when expired state was last removed.
 	swept time.Time
-	// more is true once a further target ended under a request that is held back.
+	// holdsPending is set when a further target crashed under a request that is held.
 	holdsPending bool
 }
 
@@ -135,18 +139,18 @@
 		suspects:      make(map[Fingerprint]*suspectRequest),
 		broken:        make(map[netip.AddrPort][]brokenAttempt),
 		updates:       newCrashUpdates(),
-		answered:      newGenerationalMap[Fingerprint, time.Time](maxAnsweredKept),
+		answered:      newGenerationalMap[Fingerprint, time.Time](maxAnswered),
 		onChange:      func() {},
 	}
 }
 
-// WithCrashes sets the bounds of what requests may do to targets, and a function that is called,
-// under the board's lock, when other processes should hear at once of what was seen.
-func WithCrashes(s CrashSettings, seen func()) Option {
-	return func(b *Board) { b.crashes.CrashSettings, b.crashes.onChange = s, seen }
+// WithCrashes sets the crash settings, and a function that is called, with the board's lock held,
+// when other processes should be informed at once.
+func WithCrashes(s CrashSettings, onChange func()) Option {
+	return func(b *Board) { b.crashes.CrashSettings, b.crashes.onChange = s, onChange }
 }
 
-// heldUntil returns until when a request is held back; ok is false for one that is not.
+// heldUntil returns the time until which a request is held; ok is false if it is not held.
 func (c *crashTracker) heldUntil(now time.Time, f Fingerprint) (until time.Time, ok bool) {
 	s := c.suspects[f]
 	if s == nil || s.count() < c.Targets {
@@ -156,7 +160,8 @@
 	return until, now.Before(until)
 }
 
-// count is how many targets ended under the request, where answers that had begun count half.
+// count returns how many targets crashed under the request. Crashes after the answer had begun
+// count half.
 func (s *suspectRequest) count() int {
 	halves := 0
 	for _, e := range s.crashes {
@@ -167,13 +172,13 @@
 	return halves / 2
 }
 
-// holds reports whether a request is held back.
+// holds reports whether a request is held.
 func (c *crashTracker) holds(now time.Time, f Fingerprint) bool {
 	_, held := c.heldUntil(now, f)
 	return held
 }
 
-// heldRefusal is the refusal of a request that is held back, or nil.
+// heldRefusal returns the refusal of a held request, or nil if the request is not held.
 func (b *Board) heldRefusal(now time.Time, r *request) *Refusal {
 	until, held := b.crashes.heldUntil(now, r.Print)
 	if !held {
@@ -185,8 +190,8 @@
 	}
 }
 
-// recordBroken notes an attempt that broke off for no reason known, at a target that may have
-// ended. One that was leaving was to end, whatever ran there.
+// recordBroken records an attempt that broke off without a known reason at a target that may have
+// crashed. Draining targets are skipped, since they were to stop whatever they ran.
 func (b *Board) recordBroken(now time.Time, r *request, a *attempt, o Outcome) {
 	if o.Kind != OutcomeBroken || !o.Closed && !o.Silent || a.cancelled || !r.Print.Known() || a.target.draining || a.target.listedDraining {
 		return
@@ -194,40 +199,41 @@
 	if a.firstToken && now.Sub(a.firstTokenAt) >= survivalTime {
 		return
 	}
-	mark := TargetKey{a.Target, a.Incarnation}
+	target := TargetKey{a.Target, a.Incarnation}
 	c := &b.crashes
-	c.broken[a.Target] = append(c.broken[a.Target], brokenAttempt{fingerprint: r.Print, mark: mark, org: r.Org, pool: r.Pool, crash: crash{at: now, begun: a.firstToken}})
+	c.broken[a.Target] = append(c.broken[a.Target], brokenAttempt{fingerprint: r.Print, target: target, org: r.Org, pool: r.Pool, crash: crash{at: now, begun: a.firstToken}})
 	if !a.target.incarnation.Same(a.Incarnation) {
-		// Another start has been seen there since.
-		b.recordIncarnationCrash(now, mark)
+		// Another incarnation has been seen there since.
+		b.recordIncarnationCrash(now, target)
 	}
 }
 
-// MayHaveCrashed reports whether requests broke off at a target which is not known to have ended
-// or to live, and to which none of this process is under way.
+// MayHaveCrashed reports whether attempts broke off at a target that is not yet known to have
+// crashed or to be alive, and this process has nothing in flight there.
 func (b *Board) MayHaveCrashed(addr netip.AddrPort) bool {
 	return len(b.crashes.broken[addr]) > 0 && b.InFlight(addr) == 0
 }
 
-// TargetCrashed takes the news that nothing listens at a target's address.
+// TargetCrashed records that nothing listens at a target's address.
 func (b *Board) TargetCrashed(now time.Time, addr netip.AddrPort) []Action {
 	for len(b.crashes.broken[addr]) > 0 {
-		b.recordIncarnationCrash(now, b.crashes.broken[addr][0].mark)
+		b.recordIncarnationCrash(now, b.crashes.broken[addr][0].target)
 	}
 	return b.dispatch(now)
 }
 
-// recordIncarnationCrash takes the end of one start of a target: whatever broke off there fell with it.
+// recordIncarnationCrash records that an incarnation of a target crashed, and attributes its broken
+// attempts to the crash.
 func (b *Board) recordIncarnationCrash(now time.Time, m TargetKey) {
 	c := &b.crashes
-	fell := 0
+	affected := 0
 	left := slices.DeleteFunc(c.broken[m.Target], func(run brokenAttempt) bool {
-		if !run.mark.Incarnation.Same(m.Incarnation) {
+		if !run.target.Incarnation.Same(m.Incarnation) {
 			return false
 		}
 		if now.Sub(run.at) < crashConfirmWindow {
-			fell++
-			if s := b.recordCrash(now, run.fingerprint, run.mark, run.crash); s != nil {
+			affected++
+			if s := b.recordCrash(now, run.fingerprint, run.target, run.crash); s != nil {
 				s.org, s.pool, s.own = run.org, run.pool, true
 			}
 		}
@@ -236,18 +242,18 @@
 	if c.broken[m.Target] = left; len(left) == 0 {
 		delete(c.broken, m.Target)
 	}
-	if fell == 0 {
+	if affected == 0 {
 		return
 	}
 	b.emit(event.Event{
 		Code: event.TargetEnded, Target: m.Target.String(),
-		Detail: fmt.Sprintf("incarnation %s, under %d requests of this process", m.Incarnation, fell),
+		Detail: fmt.Sprintf("incarnation %s, while running %d requests of this process", m.Incarnation, affected),
 	})
 	c.onChange()
 }
 
-// recordCrash counts the end of a target under a request, once for each start of a target. It
-// returns nil for a request that is known to end none.
+// recordCrash counts a target's crash against a request, once per incarnation. It returns nil if
+// the request is known to crash no targets.
 func (b *Board) recordCrash(now time.Time, f Fingerprint, m TargetKey, e crash) *suspectRequest {
 	c := &b.crashes
 	if c.answeredRecently(now, f) {
@@ -280,7 +286,8 @@
 	return s
 }
 
-// clearBegun takes it that of several copies of a request which fell with one target, one had not begun to be answered.
+// clearBegun clears the begun mark of a recorded crash if the answer to another copy of the
+// request, which ran at the same target, had not begun.
 func (c *crashTracker) clearBegun(f Fingerprint, m TargetKey, e crash) {
 	s := c.suspects[f]
 	known := s.crashes[m]
@@ -293,8 +300,8 @@
 	c.holdsPending = c.holdsPending || s.count() >= c.Targets
 }
 
-// answeredRecently reports whether a request was answered here lately. That is said once for each
-// answer: a request that ends targets later on is no less guilty for it.
+// answeredRecently reports whether a request was answered here recently. Each answer excuses one
+// crash only: a request that crashes targets later is as suspect as any other.
 func (c *crashTracker) answeredRecently(now time.Time, f Fingerprint) bool {
 	at := c.answered.get(f)
 	if at == nil || at.IsZero() {
@@ -305,9 +312,9 @@
 	return ran
 }
 
-// evictSuspect forgets the request that is least to be feared where one more would be too many: the
-// fewest targets ended under it, and the longest ago. So a herd of targets that end under many requests at
-// once pushes out none that is held back.
+// evictSuspect removes the least suspicious request if the limit is reached: the one with the
+// fewest crashes, and among those the oldest. Many targets that crash at once thus do not evict a
+// held request.
 func (c *crashTracker) evictSuspect() {
 	if len(c.suspects) < c.MaxRequests {
 		return
@@ -322,7 +329,7 @@
 	c.dropCrashes(least, func(TargetKey, crash) bool { return true })
 }
 
-// dropCrashes takes back the ends under a request that drop names; one without any is forgotten.
+// dropCrashes removes the crashes of a request that drop selects, and the request if none is left.
 func (c *crashTracker) dropCrashes(f Fingerprint, drop func(m TargetKey, e crash) bool) {
 	s := c.suspects[f]
 	s.newest = time.Time{}
@@ -346,33 +353,35 @@
 	return b
 }
 
-// clearRequest takes it that a request was answered at a time, or released: no end up to then counts.
+// clearRequest discards the crashes of a request up to the given time, at which it was answered or
+// released.
 func (b *Board) clearRequest(now time.Time, f Fingerprint, at time.Time) {
 	if s := b.crashes.suspects[f]; s != nil {
 		b.crashes.dropCrashes(f, func(_ TargetKey, e crash) bool { return !e.at.After(at) })
-		b.noteReleased(now, f, s, "it was answered, or released")
+		b.emitReleased(now, f, s, "it was answered or released")
 	}
 }
 
-// clearTarget takes it that a start of a target answered at a time: it had not ended before.
+// clearTarget discards the crashes of an incarnation up to the given time, at which it answered.
 func (b *Board) clearTarget(now time.Time, m TargetKey, at time.Time) {
 	for f, s := range b.crashes.suspects {
-		if ended, ok := s.crashes[m]; ok && !ended.at.After(at) {
+		if last, ok := s.crashes[m]; ok && !last.at.After(at) {
 			b.crashes.dropCrashes(f, func(other TargetKey, _ crash) bool { return other == m })
-			b.noteReleased(now, f, s, "a target that counted as ended answered")
+			b.emitReleased(now, f, s, "a target that was counted as crashed answered")
 		}
 	}
 }
 
-// noteReleased logs that a request which was held back is held back no more.
-func (b *Board) noteReleased(now time.Time, f Fingerprint, s *suspectRequest, why string) {
+// emitReleased logs an event if a request that was held is held no longer.
+func (b *Board) emitReleased(now time.Time, f Fingerprint, s *suspectRequest, why string) {
 	if s.holdLogged && !b.crashes.holds(now, f) {
 		s.holdLogged = false
 		b.emit(event.Event{Code: event.RequestReleased, Org: s.org, Detail: "fingerprint " + f.String() + ": " + why})
 	}
 }
 
-// recordCompleted notes that a target answered a request to its end: neither of them ended.
+// recordCompleted records that a target answered a request completely, so that neither can be
+// blamed for a crash.
 func (b *Board) recordCompleted(now time.Time, r *request, a *attempt) {
 	c := &b.crashes
 	if !r.Print.Known() {
@@ -387,27 +396,27 @@
 	m := TargetKey{a.Target, a.Incarnation}
 	if runs, ok := c.broken[a.Target]; ok {
 		c.broken[a.Target] = slices.DeleteFunc(runs, func(run brokenAttempt) bool {
-			return run.mark.Incarnation.Same(m.Incarnation) && run.at.Before(a.sent)
+			return run.target.Incarnation.Same(m.Incarnation) && run.at.Before(a.sent)
 		})
 	}
-	if c.endedBefore(m, a.sent) {
+	if c.crashedBefore(m, a.sent) {
 		b.clearTarget(now, m, now)
 		c.updates.Set(CrashKey{Target: m}, crash{at: now})
 		c.onChange()
 	}
 }
 
-// endedBefore reports whether a start of a target counts as ended before a time.
-func (c *crashTracker) endedBefore(m TargetKey, at time.Time) bool {
+// crashedBefore reports whether a crash of the incarnation is recorded before the given time.
+func (c *crashTracker) crashedBefore(m TargetKey, at time.Time) bool {
 	for _, s := range c.suspects {
-		if ended, ok := s.crashes[m]; ok && ended.at.Before(at) {
+		if last, ok := s.crashes[m]; ok && last.at.Before(at) {
 			return true
 		}
 	}
 	return false
 }
 
-// refuseHeld refuses the waiting requests that are held back since a further target ended.
+// refuseHeld refuses waiting requests that are held because a further target crashed.
 func (b *Board) refuseHeld(now time.Time) []Action {
 	c := &b.crashes
 	if !c.holdsPending {
@@ -418,7 +427,7 @@
 		if until, held := c.heldUntil(now, f); held && !s.holdLogged {
 			s.holdLogged = true
 			b.emit(event.Event{Code: event.RequestHeld, Org: s.org, Detail: fmt.Sprintf(
-				"fingerprint %s, service %s, for %s: %s ended under it", f, s.pool, until.Sub(now).Round(time.Second), strings.Join(s.crashedTargetNames(), ", "))})
+				"fingerprint %s, service %s, for %s: targets that crashed while running it: %s", f, s.pool, until.Sub(now).Round(time.Second), strings.Join(s.crashedTargetNames(), ", "))})
 		}
 	}
 	var out []Action
@@ -430,15 +439,16 @@
 	return out
 }
 
-// crashedTargets returns the targets that ended under the request, the first first; those of one
-// moment in the order of their addresses and ids, so that all processes tell them alike.
+// crashedTargets returns the targets that crashed under the request, oldest crash first. Ties are
+// ordered by address and incarnation, so that all processes report the same order.
 func (s *suspectRequest) crashedTargets() []TargetKey {
 	return slices.SortedFunc(maps.Keys(s.crashes), func(a, b TargetKey) int {
 		return cmp.Or(s.crashes[a].at.Compare(s.crashes[b].at), a.Target.Compare(b.Target), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 }
 
-// crashedTargetNames names the targets that ended under the request, the first first.
+// crashedTargetNames returns the names of the targets that crashed under the request, oldest crash
+// first.
 func (s *suspectRequest) crashedTargetNames() []string {
 	out := make([]string, 0, len(s.crashes))
 	for _, m := range s.crashedTargets() {
@@ -447,10 +457,10 @@
 	return out
 }
 
-// sweepInterval is the time between two looks for what is to be forgotten.
+// sweepEvery is the interval between two sweeps for expired state.
 const sweepEvery = time.Second
 
-// sweepCrashes forgets what is long ago.
+// sweepCrashes removes expired state.
 func (b *Board) sweepCrashes(now time.Time) {
 	c := &b.crashes
 	if now.Sub(c.swept) < sweepEvery {
@@ -459,7 +469,7 @@
 	c.swept = now
 	for f, s := range c.suspects {
 		until, _ := c.heldUntil(now, f)
-		b.noteReleased(now, f, s, "its time is over")
+		b.emitReleased(now, f, s, "the hold has expired")
 		if now.Sub(later(s.newest, until)) >= suspectTTL {
 			c.dropCrashes(f, func(TargetKey, crash) bool { return true })
 		}
@@ -470,5 +480,5 @@
 			delete(c.broken, addr)
 		}
 	}
-	c.sweepFacts(now)
+	c.sweepUpdates(now)
 }
--- a/route/crash_join_test.go
+++ b/route/crash_join_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever processes see, clear and hear, in whatever order and however often, those that have told each other
-// everything know the same ends under each request.
+// Processes that have exchanged all their facts agree on the crashes of each request, whatever they
+// observe, clear and receive, in any order and with any repetition.
 func TestCrashJoinFuzz(t *testing.T) {
 	snap := testSetup{trust: true}.snapshot(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -23,21 +23,21 @@
 			boards = append(boards, b)
 		}
 		print := func() Fingerprint { return Fingerprint{byte(rapid.IntRange(1, 3).Draw(t, "request"))} }
-		mark := func() TargetKey {
+		key := func() TargetKey {
 			n := rapid.IntRange(0, 4).Draw(t, "target")
 			return TargetKey{testAddr(n), Incarnation(fmt.Sprint("i", n))}
 		}
-		// A start of a target ends once, and whatever runs there breaks off at that moment.
+		// An incarnation crashes once, and everything that runs there breaks off at that time.
 		endedAt := make(map[TargetKey]time.Time)
-		tell := func(from, to *Board) {
-			words, _ := from.CrashesSince(now, 0)
-			to.TakeCrashes(now, words)
+		exchange := func(from, to *Board) {
+			updates, _ := from.CrashesSince(now, 0)
+			to.TakeCrashes(now, updates)
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			b := boards[rapid.IntRange(0, processes-1).Draw(t, "process")]
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				m := mark()
+				m := key()
 				if _, ok := endedAt[m]; !ok {
 					endedAt[m] = now
 				}
@@ -45,9 +45,9 @@
 			case 2:
 				b.Release(now, print())
 			case 3:
-				b.TakeCrashes(now, []CrashUpdate{{CrashKey: CrashKey{Target: mark()}}})
+				b.TakeCrashes(now, []CrashUpdate{{CrashKey: CrashKey{Target: key()}}})
 			case 4:
-				tell(b, boards[rapid.IntRange(0, processes-1).Draw(t, "hearer")])
+				exchange(b, boards[rapid.IntRange(0, processes-1).Draw(t, "hearer")])
 			}
 			now = now.Add(2 * time.Second)
 		}
@@ -55,19 +55,20 @@
 			for _, a := range boards {
 				for _, b := range boards {
 					if a != b {
-						tell(a, b)
+						exchange(a, b)
 					}
 				}
 			}
 		}
 		for _, b := range boards[1:] {
-			require.Equal(t, known(boards[0], now), known(b, now))
+			require.Equal(t, knownCrashes(boards[0], now), knownCrashes(b, now))
 		}
 	})
 }
 
-// known returns what a board knows of ends, but for what only the process that saw them has.
-func known(b *Board, now time.Time) map[Fingerprint]string {
+// knownCrashes returns what a board knows of crashes, without what only the process that observed
+// them knows.
+func knownCrashes(b *Board, now time.Time) map[Fingerprint]string {
 	out := make(map[Fingerprint]string)
 	for _, h := range b.HeldRequests(now) {
 		out[h.Print] = fmt.Sprint(h.Held, h.Left, h.Targets, h.Age)
--- a/route/crash_sim_test.go
+++ b/route/crash_sim_test.go
@@ -10,20 +10,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The figures of a simulated fleet before targets that end: nine targets, as many requests as
-// keep each of them at some ten, and a client that comes once more after a failure.
+// The parameters of a simulated fleet with targets that crash: nine targets, a load that keeps
+// about ten requests at each, and clients that retry once after a failure.
 const (
-	crashStep     = 5 * time.Millisecond
-	crashTargets  = 9
-	crashRate     = 120
-	crashBack     = 1500 * time.Millisecond
-	crashList     = 300 * time.Millisecond
-	crashEnds     = 80 * time.Millisecond
-	crashFirst    = 40 * time.Millisecond
-	crashLook     = 15 * time.Millisecond
-	crashPlayTime = 12 * time.Second
-	// crashCopies is the pause between two copies of a guilty request.
-	crashCopies = 150 * time.Millisecond
+	crashStep         = 5 * time.Millisecond
+	crashTargets      = 9
+	crashRate         = 120
+	crashDowntime     = 1500 * time.Millisecond
+	crashListInterval = 300 * time.Millisecond
+	crashDelay        = 80 * time.Millisecond
+	crashFirstToken   = 40 * time.Millisecond
+	crashCheckDelay   = 15 * time.Millisecond
+	crashSimTime      = 12 * time.Second
+	// crashCopyInterval is the interval between two copies of a guilty request.
+	crashCopyInterval = 150 * time.Millisecond
 )
 
 // simRun is an attempt that a simulated target runs.
@@ -35,13 +35,13 @@
 	due     time.Time
 }
 
-// simClient is one request of a client, with its copies.
+// simClient is a client's request with its copies.
 type simClient struct {
 	print  Fingerprint
 	guilty bool
 	plain  bool
 	tries  int
-	// answered and held say how it ended.
+	// answered and held are the possible outcomes.
 	answered, held bool
 	ran            bool
 	heldAfterRun   bool
@@ -51,11 +51,11 @@
 type crashTarget struct {
 	fake *fakeTarget
 	up   bool
-	back time.Time
+	upAt time.Time
 	runs []*simRun
 }
 
-// crashFleet is a fleet of boards before targets that end under requests.
+// crashFleet is a fleet of boards with targets that crash under requests.
 type crashFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -65,26 +65,27 @@
 	clients map[string]*simClient
 	all     []*simClient
 	nextID  int
-	// lag is how long what a board sees takes to all others.
+	// lag is the time until an observation of one board reaches all others.
 	lag     time.Duration
 	cursors []int64
-	words   []simUpdates
+	updates []simUpdates
 	checks  []simCheck
 	retries []simRetry
 	listed  time.Time
 	snapRev int64
-	// alike is the text of all innocent requests, which are of a plain service; empty for texts of their own.
-	alike string
-	// ends counts the targets that ended under guilty requests, late the sends of one that came
-	// later than known after the third.
-	ends, late map[Fingerprint]int
-	third      map[Fingerprint]time.Time
+	// alike is the text of all innocent requests, which then belong to a plain service. If empty,
+	// each request has its own text.
+	sharedText string
+	// ends counts the targets that crashed under guilty requests, late the sends of a guilty
+	// request later than crashHoldDeadline after its third crash.
+	crashCounts, late map[Fingerprint]int
+	third             map[Fingerprint]time.Time
 }
 
 type simUpdates struct {
-	at    time.Time
-	from  int
-	words []CrashUpdate
+	at      time.Time
+	from    int
+	updates []CrashUpdate
 }
 
 type simCheck struct {
@@ -98,14 +99,14 @@
 	client *simClient
 }
 
-// crashKnown is when all boards must hold a request back after its third end.
-const crashKnown = 3 * time.Second
+// crashHoldDeadline is the time after the third crash by which all boards must hold the request.
+const crashHoldDeadline = 3 * time.Second
 
 func newCrashFleet(t *testing.T, boards int, lag time.Duration, seed uint64) *crashFleet {
 	w := newWorld(t, 0, crashTargets, testSetup{trust: true})
 	f := &crashFleet{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: epoch, lag: lag, cursors: make([]int64, boards),
-		clients: make(map[string]*simClient), ends: make(map[Fingerprint]int), late: make(map[Fingerprint]int), third: make(map[Fingerprint]time.Time),
+		clients: make(map[string]*simClient), crashCounts: make(map[Fingerprint]int), late: make(map[Fingerprint]int), third: make(map[Fingerprint]time.Time),
 	}
 	for _, fake := range w.targets {
 		f.targets = append(f.targets, &crashTarget{fake: fake, up: true})
@@ -120,7 +121,7 @@
 	return f
 }
 
-// list tells all boards the list, with what each target says of itself.
+// list passes all boards the target list, with each target's report.
 func (f *crashFleet) list() {
 	f.listed = f.now
 	for i, b := range f.boards {
@@ -128,23 +129,23 @@
 		for _, target := range f.targets {
 			seen = append(seen, ListedTarget{Addr: target.fake.addr, Labels: map[string]string{"s": "s"}, Incarnation: Incarnation(target.fake.id())})
 		}
-		f.act(i, b.SetTargets(f.now, seen))
+		f.execute(i, b.SetTargets(f.now, seen))
 		for _, target := range f.targets {
 			if target.up {
-				f.act(i, b.Report(f.now, target.fake.addr, target.fake.report()))
+				f.execute(i, b.Report(f.now, target.fake.addr, target.fake.report()))
 			}
 		}
 	}
 }
 
-// send has a client's request come to some board.
+// send submits a client's request to a random board.
 func (f *crashFleet) send(c *simClient) {
 	c.tries++
 	f.nextID++
 	id := fmt.Sprint("r", f.nextID)
 	f.clients[id] = c
 	i := f.rng.IntN(len(f.boards))
-	f.act(i, f.boards[i].Arrive(f.now, Request{
+	f.execute(i, f.boards[i].Arrive(f.now, Request{
 		ID: id, Revision: f.snapRev, Org: "b", Pool: "s", Deadline: f.now.Add(8 * time.Second), QueueTime: 2 * time.Second,
 		Repeatable: true, MaxTries: 2, Print: c.print, Streams: !c.plain, Resumable: !c.plain, ResumeAnywhere: true,
 	}))
@@ -156,21 +157,21 @@
 	return c
 }
 
-// act carries a board's actions out.
-func (f *crashFleet) act(board int, actions []Action) {
+// execute carries out a board's actions.
+func (f *crashFleet) execute(board int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			f.start(board, a.Attempt)
 		case Refuse:
-			f.failed(f.clients[a.Request], a.Refusal)
+			f.handleRefusal(f.clients[a.Request], a.Refusal)
 		case Finish:
 			f.clients[a.Request].answered = true
 		}
 	}
 }
 
-func (f *crashFleet) failed(c *simClient, r Refusal) {
+func (f *crashFleet) handleRefusal(c *simClient, r Refusal) {
 	if r.Cause == CauseCrashes {
 		c.held = true
 		c.heldAfterRun = c.heldAfterRun || c.ran
@@ -181,29 +182,29 @@
 	}
 }
 
-// start begins an attempt at its target, which may be down.
+// start starts an attempt at its target, which may be down.
 func (f *crashFleet) start(board int, a Attempt) {
 	c := f.clients[a.Request]
 	target := f.target(a)
 	out := Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeUnsent}
 	b := f.boards[board]
 	if !target.up {
-		f.act(board, b.TargetCrashed(f.now, a.Target))
-		f.act(board, b.Ended(f.now, out))
+		f.execute(board, b.TargetCrashed(f.now, a.Target))
+		f.execute(board, b.Ended(f.now, out))
 		return
 	}
 	if id := Incarnation(target.fake.id()); id != a.Incarnation {
 		out.Kind, out.Incarnation = OutcomeRefused, id
-		f.act(board, b.Ended(f.now, out))
+		f.execute(board, b.Ended(f.now, out))
 		return
 	}
-	if third, ok := f.third[c.print]; ok && c.guilty && f.now.Sub(third) > crashKnown {
+	if third, ok := f.third[c.print]; ok && c.guilty && f.now.Sub(third) > crashHoldDeadline {
 		f.late[c.print]++
 	}
-	run := &simRun{board: board, attempt: a, client: c, first: f.now.Add(crashFirst)}
+	run := &simRun{board: board, attempt: a, client: c, first: f.now.Add(crashFirstToken)}
 	run.due = f.now.Add(200*time.Millisecond + time.Duration(f.rng.Int64N(int64(600*time.Millisecond))))
 	if c.guilty {
-		run.first, run.due = run.due, f.now.Add(crashEnds)
+		run.first, run.due = run.due, f.now.Add(crashDelay)
 	}
 	target.runs = append(target.runs, run)
 }
@@ -218,32 +219,32 @@
 	return nil
 }
 
-// crash ends a target; the boards see what ran there break off.
+// crash crashes a target. The boards observe that the attempts there break off.
 func (f *crashFleet) crash(target *crashTarget) {
 	runs := target.runs
-	target.runs, target.up, target.back = nil, false, f.now.Add(crashBack)
+	target.runs, target.up, target.upAt = nil, false, f.now.Add(crashDowntime)
 	under := make(map[Fingerprint]bool)
 	for _, run := range runs {
 		if run.client.guilty && !under[run.client.print] {
 			under[run.client.print] = true
-			if f.ends[run.client.print]++; f.ends[run.client.print] == 3 {
+			if f.crashCounts[run.client.print]++; f.crashCounts[run.client.print] == 3 {
 				f.third[run.client.print] = f.now
 			}
 		}
 	}
 	for _, run := range runs {
-		f.broke(run)
-		f.checks = append(f.checks, simCheck{f.now.Add(crashLook), run.board, target})
+		f.breakOff(run)
+		f.checks = append(f.checks, simCheck{f.now.Add(crashCheckDelay), run.board, target})
 	}
 }
 
-func (f *crashFleet) broke(run *simRun) {
-	f.act(run.board, f.boards[run.board].Ended(f.now, Outcome{
+func (f *crashFleet) breakOff(run *simRun) {
+	f.execute(run.board, f.boards[run.board].Ended(f.now, Outcome{
 		Request: run.attempt.Request, Attempt: run.attempt.ID, Kind: OutcomeBroken, Closed: true, Delivered: !f.now.Before(run.first) && !run.client.plain,
 	}))
 }
 
-// step lets time pass.
+// step advances the time.
 func (f *crashFleet) step() {
 	f.now = f.now.Add(crashStep)
 	for _, target := range f.targets {
@@ -254,7 +255,7 @@
 		l := f.checks[0]
 		f.checks = f.checks[1:]
 		if b := f.boards[l.board]; b.MayHaveCrashed(l.target.fake.addr) && !l.target.up {
-			f.act(l.board, b.TargetCrashed(f.now, l.target.fake.addr))
+			f.execute(l.board, b.TargetCrashed(f.now, l.target.fake.addr))
 		}
 	}
 	for len(f.retries) > 0 && !f.retries[0].at.After(f.now) {
@@ -262,20 +263,20 @@
 		f.retries = f.retries[1:]
 		f.send(c)
 	}
-	if f.now.Sub(f.listed) >= crashList {
+	if f.now.Sub(f.listed) >= crashListInterval {
 		f.list()
 	}
 	for i, b := range f.boards {
 		if (int(f.now.Sub(epoch)/crashStep)+i)%4 == 0 {
-			f.act(i, b.Tick(f.now))
+			f.execute(i, b.Tick(f.now))
 		}
 	}
 }
 
-// runTarget lets a target's runs go on.
+// runTarget advances a target's attempts.
 func (f *crashFleet) runTarget(target *crashTarget) {
 	if !target.up {
-		if !target.back.After(f.now) {
+		if !target.upAt.After(f.now) {
 			target.up = true
 			target.fake.incarnation++
 		}
@@ -284,7 +285,7 @@
 	for _, run := range append([]*simRun(nil), target.runs...) {
 		b := f.boards[run.board]
 		if !run.first.After(f.now) && !run.client.plain {
-			f.act(run.board, b.FirstToken(f.now, run.attempt.Request, run.attempt.ID))
+			f.execute(run.board, b.FirstToken(f.now, run.attempt.Request, run.attempt.ID))
 			b.Progress(f.now, run.attempt.Request, run.attempt.ID)
 		}
 		if run.due.After(f.now) {
@@ -296,7 +297,7 @@
 		}
 		f.drop(target, run)
 		run.client.ran = true
-		f.act(run.board, b.Ended(f.now, Outcome{Request: run.attempt.Request, Attempt: run.attempt.ID, Kind: OutcomeDone}))
+		f.execute(run.board, b.Ended(f.now, Outcome{Request: run.attempt.Request, Attempt: run.attempt.ID, Kind: OutcomeDone}))
 	}
 }
 
@@ -309,27 +310,27 @@
 	}
 }
 
-// gossip brings what boards know to all others after the lag.
+// gossip delivers the updates of each board to all others after the lag.
 func (f *crashFleet) gossip() {
 	for i, b := range f.boards {
-		words, version := b.CrashesSince(f.now, f.cursors[i])
-		if version > f.cursors[i] && len(words) > 0 {
-			f.words = append(f.words, simUpdates{f.now.Add(f.lag), i, words})
+		updates, version := b.CrashesSince(f.now, f.cursors[i])
+		if version > f.cursors[i] && len(updates) > 0 {
+			f.updates = append(f.updates, simUpdates{f.now.Add(f.lag), i, updates})
 		}
 		f.cursors[i] = version
 	}
-	for len(f.words) > 0 && !f.words[0].at.After(f.now) {
-		w := f.words[0]
-		f.words = f.words[1:]
-		for k := range w.words {
-			w.words[k].Age += f.lag
+	for len(f.updates) > 0 && !f.updates[0].at.After(f.now) {
+		w := f.updates[0]
+		f.updates = f.updates[1:]
+		for k := range w.updates {
+			w.updates[k].Age += f.lag
 		}
 		for i, b := range f.boards {
 			if i != w.from {
-				f.act(i, b.TakeCrashes(f.now, w.words))
+				f.execute(i, b.TakeCrashes(f.now, w.updates))
 			}
 		}
-		// What was just told is not told back.
+		// Updates that were just received are not sent back.
 		for i, b := range f.boards {
 			if i != w.from {
 				_, f.cursors[i] = b.CrashesSince(f.now, f.cursors[i])
@@ -338,18 +339,19 @@
 	}
 }
 
-// crashResult is what became of the clients.
+// crashResult summarizes the outcomes of the clients.
 type crashResult struct {
-	// ends are the most targets that ended under one guilty request, late the sends of one too late.
-	ends, late int
-	// innocent counts the clients beside, answered those that got an answer, held those that were
-	// held back, heldAfterRun those of them that had been answered before.
+	// ends is the largest number of targets that crashed under one guilty request, late the number
+	// of sends that came too late.
+	crashes, late int
+	// innocent counts the other clients, answered those that got an answer, held those that were
+	// held, and heldAfterRun those that were held after they had been answered.
 	innocent, answered, held, heldAfterRun int
 }
 
 func (f *crashFleet) result() (r crashResult) {
-	for _, n := range f.ends {
-		r.ends = max(r.ends, n)
+	for _, n := range f.crashCounts {
+		r.crashes = max(r.crashes, n)
 	}
 	for _, n := range f.late {
 		r.late += n
@@ -372,32 +374,34 @@
 	return r
 }
 
-// play runs the fleet with a trouble that is given each step.
-func (f *crashFleet) play(trouble func(at time.Duration)) crashResult {
-	for at := time.Duration(0); at < crashPlayTime; at += crashStep {
+// run runs the fleet and calls inject in each step.
+func (f *crashFleet) run(inject func(at time.Duration)) crashResult {
+	for at := time.Duration(0); at < crashSimTime; at += crashStep {
 		for f.rng.Float64() < crashRate*crashStep.Seconds()/2 {
-			c := f.newClient(false, cmp.Or(f.alike, fmt.Sprint("prompt ", len(f.all))))
-			c.plain = f.alike != ""
+			c := f.newClient(false, cmp.Or(f.sharedText, fmt.Sprint("prompt ", len(f.all))))
+			c.plain = f.sharedText != ""
 			f.send(c)
 		}
-		trouble(at)
+		inject(at)
 		f.step()
 	}
 	return f.result()
 }
 
-// every reports whether a step is one of those with a pause between them, from a moment on.
+// every reports whether a step is the first one in an interval of length pause, counted from a time
+// on.
 func every(at, from, pause time.Duration) bool { return at >= from && (at-from)%pause < crashStep }
 
-// A request that ends each target that begins it is held back after three of them and what was under
-// way, however large the fleet is and however its copies come, and those beside it are not.
+// A request that crashes every target that starts it is held after three crashes plus those caused
+// by copies already in flight, whatever the size of the fleet and the timing of the copies. Other
+// requests are not held.
 func TestCrashFleetGuilty(t *testing.T) {
 	for name, c := range map[string]struct {
 		boards int
 		lag    time.Duration
-		// copies come at once each time, of so many guilty requests.
+		// copies is the number of copies sent at once, of each of the guilty requests.
 		copies, guilty int
-		// ends bounds the targets that end under one.
+		// ends bounds the targets that crash under one request.
 		ends int
 	}{
 		"one node":                       {1, 0, 1, 1, 4},
@@ -417,8 +421,8 @@
 				for i := range c.guilty {
 					guilty = append(guilty, f.newClient(true, fmt.Sprint("guilty ", i)))
 				}
-				r := f.play(func(at time.Duration) {
-					if !every(at, time.Second, crashCopies) {
+				r := f.run(func(at time.Duration) {
+					if !every(at, time.Second, crashCopyInterval) {
 						return
 					}
 					for range c.copies {
@@ -428,25 +432,25 @@
 					}
 				})
 				t.Logf("%s, seed %d: %+v", name, seed+1, r)
-				require.LessOrEqual(t, r.ends, c.ends, "targets that ended under one request")
-				require.Zero(t, r.late, "sends of a request that was to be held back")
-				require.Zero(t, r.heldAfterRun, "requests that were held back after they were answered")
+				require.LessOrEqual(t, r.crashes, c.ends, "targets that crashed under one request")
+				require.Zero(t, r.late, "sends of a request that must be held")
+				require.Zero(t, r.heldAfterRun, "requests that were held after they were answered")
 			}
 		})
 	}
 }
 
-// Targets that end, and connections that break, for other reasons hold nobody back.
+// Crashes and broken connections with other causes do not lead to any request being held.
 func TestCrashFleetInnocent(t *testing.T) {
-	for name, trouble := range map[string]func(f *crashFleet, at time.Duration){
-		"herds of targets end": func(f *crashFleet, at time.Duration) {
+	for name, inject := range map[string]func(f *crashFleet, at time.Duration){
+		"many targets crash at once": func(f *crashFleet, at time.Duration) {
 			if every(at, time.Second, 2*time.Second) {
 				for _, i := range f.rng.Perm(crashTargets)[:5] {
 					f.crash(f.targets[i])
 				}
 			}
 		},
-		"one target after another ends": func(f *crashFleet, at time.Duration) {
+		"one target after another crashes": func(f *crashFleet, at time.Duration) {
 			if every(at, time.Second, 200*time.Millisecond) {
 				f.crash(f.targets[f.rng.IntN(crashTargets)])
 			}
@@ -456,18 +460,18 @@
 				target := f.targets[f.rng.IntN(crashTargets)]
 				for _, run := range append([]*simRun(nil), target.runs...) {
 					f.drop(target, run)
-					f.broke(run)
-					f.checks = append(f.checks, simCheck{f.now.Add(crashLook), run.board, target})
+					f.breakOff(run)
+					f.checks = append(f.checks, simCheck{f.now.Add(crashCheckDelay), run.board, target})
 				}
 			}
 		},
-		"targets end all the time": func(f *crashFleet, at time.Duration) {
+		"targets crash all the time": func(f *crashFleet, at time.Duration) {
 			if every(at, time.Second, 100*time.Millisecond) {
 				f.crash(f.targets[f.rng.IntN(crashTargets)])
 			}
 		},
 		"copies of one request are answered all the time": func(f *crashFleet, at time.Duration) {
-			f.alike = "the same prompt"
+			f.sharedText = "the same prompt"
 			if every(at, time.Second, 300*time.Millisecond) {
 				f.crash(f.targets[f.rng.IntN(crashTargets)])
 			}
@@ -478,7 +482,7 @@
 			t.Parallel()
 			for seed := range uint64(3) {
 				f := newCrashFleet(t, 8, 30*time.Millisecond, seed+1)
-				r := f.play(func(at time.Duration) { trouble(f, at) })
+				r := f.run(func(at time.Duration) { inject(f, at) })
 				t.Logf("%s, seed %d: %+v", name, seed+1, r)
 				require.Zero(t, r.heldAfterRun)
 				require.Zero(t, r.held)
--- a/route/health.go
+++ b/route/health.go
@@ -7,15 +7,15 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// failureWindow is the time over which failures count against a target, and
-// maxFailurePenalty what a target that fails every attempt costs.
+// failureWindow is the time over which failures count against a target, and maxFailurePenalty the
+// penalty of a target that fails every attempt.
 const (
 	failureWindow     = 4 * time.Second
 	maxFailurePenalty = 2 * time.Second
 )
 
-// failurePenalty is what the failures seen lately cost a placement here. One more send
-// than there were is counted, so that a single failure among few is no verdict.
+// failurePenalty returns the placement cost of a target's recent failures. One more send than
+// observed is counted, so that a single failure among few sends has little weight.
 func (b *Board) failurePenalty(now time.Time, t *target) time.Duration {
 	t.failedSends.decay(now)
 	if t.failedSends.value < 0.1 || b.disabled.Has(FailurePrice) {
@@ -25,26 +25,26 @@
 	return time.Duration(t.failedSends.value / (t.sends.value + 1) * float64(maxFailurePenalty))
 }
 
-// markSilent takes a target out at once that this router found silent.
+// markSilent marks a target as failing because it did not respond to this router.
 func (b *Board) markSilent(now time.Time, t *target) {
-	t.silentAt = now
-	b.markFailing(now, t, "it gave no sign of life")
+	t.unresponsiveAt = now
+	b.markFailing(now, t, "it did not respond")
 }
 
-// Reached takes the news that a target's machine took a new connection: what was
-// silent was an old one.
+// Reached records that a target's machine accepted a new connection, so only the earlier connection
+// was unresponsive.
 func (b *Board) Reached(now time.Time, addr netip.AddrPort) []Action {
 	t, ok := b.targets[addr]
-	if !ok || t.silentAt.IsZero() || t.suspectedAt.After(t.silentAt) {
+	if !ok || t.unresponsiveAt.IsZero() || t.suspectedAt.After(t.unresponsiveAt) {
 		return nil
 	}
-	t.silentAt = time.Time{}
+	t.unresponsiveAt = time.Time{}
 	t.answeredAt = now
 	b.recordRecovery(t)
 	return b.dispatch(now)
 }
 
-// markFailing takes a target out that seems to be dark; its next sign of life brings it back.
+// markFailing marks a target that appears to be down as failing until it responds again.
 func (b *Board) markFailing(now time.Time, t *target, why string) {
 	t.suspectedAt = now
 	t.failures = max(t.failures, failuresToFail)
@@ -56,7 +56,7 @@
 	b.emit(event.Event{Code: event.TargetFailing, Target: t.name(), Detail: why})
 }
 
-// Unreachable takes the failure of a poll.
+// Unreachable records a failed poll.
 func (b *Board) Unreachable(now time.Time, addr netip.AddrPort) []Action {
 	t, ok := b.targets[addr]
 	if !ok {
@@ -66,7 +66,8 @@
 	return b.cancelStalled(now, t)
 }
 
-// recordTargetFailure counts a failure; several in a row take the target out until a poll succeeds.
+// recordTargetFailure counts a failure. Several in a row mark the target as failing until a poll
+// succeeds.
 func (b *Board) recordTargetFailure(t *target) {
 	t.failures++
 	if t.failures < failuresToFail || t.failing {
@@ -87,10 +88,10 @@
 	b.emit(event.Event{Code: event.TargetHealthy, Target: t.name()})
 }
 
-// stallTime is how long an attempt at a failing target may show no progress.
+// stallTime is how long an attempt at a failing target may go without progress.
 const stallTime = 2 * time.Second
 
-// cancelStalled ends the attempts at a failing target that no longer progress, so that they go elsewhere.
+// cancelStalled cancels stalled attempts at a failing target, so that they are retried elsewhere.
 func (b *Board) cancelStalled(now time.Time, t *target) []Action {
 	if !t.failing {
 		return nil
--- a/route/identity.go
+++ b/route/identity.go
@@ -7,20 +7,20 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// setListDraining takes the list's word on leaving, of the incarnation that it names or, where it
-// names none, of whichever runs now.
+// setListDraining sets whether the target list marks the target as draining. The mark applies to
+// the incarnation that the list names or, if it names none, to the one running now.
 func (b *Board) setListDraining(now time.Time, t *target, draining bool) {
 	if draining && !t.listedDraining {
 		t.markedAt = now
-		b.setDraining(t, "vm list")
+		b.setDraining(t, "the vm list")
 	}
 	t.listedDraining = draining
 }
 
-// identify notes the incarnation a target says it has. A new one starts with no
-// beliefs and no marks, except that a word of the list that began after the old
-// one was last heard may have meant the new. A word that began before it meant
-// the old one, and holds the new one back only while the list goes on saying it.
+// identify records the incarnation that a target reports. A new incarnation starts without cache
+// entries and draining marks, with one exception: a draining mark of the list that appeared after
+// the last report of the old incarnation may refer to the new one. A mark that appeared earlier
+// referred to the old one, and excludes the new one only while the list keeps it.
 func (b *Board) identify(now time.Time, t *target, incarnation Incarnation) {
 	if incarnation == "" {
 		return
@@ -43,7 +43,7 @@
 	t.assumed = assumedWeights{}
 	t.draining = false
 	if ambiguous {
-		b.setDraining(t, "vm list")
+		b.setDraining(t, "the vm list")
 	}
 	b.emit(event.Event{Code: code, Target: t.name(), Detail: "incarnation " + string(incarnation)})
 	if b.marks[TargetKey{t.addr, incarnation}] {
@@ -51,7 +51,7 @@
 	}
 }
 
-// completeIncarnation takes the time of a target's start that an earlier word of it did not tell.
+// completeIncarnation adds the start time to an incarnation that was first known without it.
 func (b *Board) completeIncarnation(t *target, incarnation Incarnation) {
 	if _, known := t.incarnation.Start(); known || incarnation == t.incarnation {
 		return
@@ -63,9 +63,9 @@
 	}
 }
 
-// resetTarget drops what an earlier incarnation of a target taught: what it held, how it
-// failed, how fast it read and answered, and what peers sent it. What this router still has
-// under way there ends with its connection.
+// resetTarget discards what was learned about a target's earlier incarnation: its cache, failures,
+// prefill rate and service time, and the load of peers. Attempts of this router that are still in
+// flight there end with their connections.
 func (b *Board) resetTarget(now time.Time, t *target) {
 	b.renewSlot(now, t)
 	b.dropParts(t)
@@ -77,10 +77,11 @@
 	t.backoffUntil = time.Time{}
 	t.peerInFlight, t.peerPrefill, t.peerTokens = 0, 0, 0
 	t.peerSends = nil
-	t.suspectedAt, t.silentAt = time.Time{}, time.Time{}
+	t.suspectedAt, t.unresponsiveAt = time.Time{}, time.Time{}
 }
 
-// IncarnationOf returns the incarnation of the target at an address, empty where none is known.
+// IncarnationOf returns the incarnation of the target at an address, or an empty one if it is
+// unknown.
 func (b *Board) IncarnationOf(addr netip.AddrPort) Incarnation {
 	if t, ok := b.targets[addr]; ok {
 		return t.incarnation
@@ -88,7 +89,7 @@
 	return ""
 }
 
-// setDraining stops new work for the target's present incarnation; nothing undoes it.
+// setDraining stops new work for the target's current incarnation. It cannot be undone.
 func (b *Board) setDraining(t *target, source string) {
 	if t.incarnation != "" {
 		b.marks[t.key()] = true
@@ -98,10 +99,10 @@
 	}
 	b.version++
 	t.draining = true
-	b.emit(event.Event{Code: event.TargetLeaving, Target: t.name(), Detail: "says " + source})
+	b.emit(event.Event{Code: event.TargetLeaving, Target: t.name(), Detail: "reported by " + source})
 }
 
-// MarkDraining takes a mark from a peer or an operator.
+// MarkDraining records a draining mark received from a peer or an operator.
 func (b *Board) MarkDraining(m TargetKey) {
 	if b.marks[m] {
 		return
@@ -112,8 +113,8 @@
 	}
 }
 
-// SetHeldTargets takes the whole set of targets that get no new work for now, because the
-// holder of their pool's lease is emptying them before an order.
+// SetHeldTargets replaces the set of targets that get no new work for now because the lease holder
+// of their pool empties them before an order.
 func (b *Board) SetHeldTargets(held map[TargetKey]bool) {
 	b.holding = held
 	for _, t := range b.targets {
@@ -124,7 +125,7 @@
 	}
 }
 
-// DrainingTargets returns the leaving marks of targets that are still on the board.
+// DrainingTargets returns the draining marks of targets that are on the board.
 func (b *Board) DrainingTargets() []TargetKey {
 	var out []TargetKey
 	for m := range b.marks {
--- a/route/incarnation.go
+++ b/route/incarnation.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// Incarnation names one start of a target: its id and, where it tells that, the time of
-// its start by its own clock. A target may start again under the id that it had; it
-// then holds and knows nothing of before, so whatever is believed of a target is believed
-// of an incarnation.
+// Incarnation identifies one start of a target: its id and, if known, the start time by its own
+// clock. A target may restart under the same id; it then has an empty cache and no state, so
+// everything believed about a target is tied to an incarnation.
 //
-// Times of starts are compared for being the same and never for which is later: the clock
-// of a target may jump, so that a later start has an earlier time. Which entry of the list
-// is the newer one is told by [Entry.Revision], a counter of the list's own.
+// Start times are only compared for equality, never for order: a target's clock may jump, so that a
+// later start has an earlier time. [Entry.Revision], a counter of the list itself, tells which list
+// entry is newer.
 type Incarnation string
 
-// startSeparator stands between an id and the time of a start.
+// startSeparator separates the id from the start time.
 const startSeparator = "@"
 
-// NewIncarnation returns the incarnation with an id that started at a time, zero where
-// that is not known.
+// NewIncarnation returns the incarnation with the given id and start time, which is zero if
+// unknown.
 func NewIncarnation(id string, start time.Time) Incarnation {
 	switch {
 	case !start.IsZero():
@@ -31,7 +30,7 @@
 	return Incarnation(id)
 }
 
-// ID returns the target's id, which is the same after it was started again.
+// ID returns the target's id, which is the same after a restart.
 func (i Incarnation) ID() string {
 	if at := strings.LastIndex(string(i), startSeparator); at >= 0 {
 		return string(i[:at])
@@ -39,8 +38,8 @@
 	return string(i)
 }
 
-// Start returns when the target started by its own clock, in milliseconds; ok is false
-// where it does not tell.
+// Start returns the start time by the target's own clock, in milliseconds; ok is false if it is
+// unknown.
 func (i Incarnation) Start() (start time.Time, ok bool) {
 	at := strings.LastIndex(string(i), startSeparator)
 	if at < 0 {
@@ -53,15 +52,15 @@
 	return time.UnixMilli(ms).UTC(), true
 }
 
-// OtherStart reports whether the incarnation is known to have started at another time than
-// the given one; it is not where either time is not told.
+// OtherStart reports whether the incarnation is known to have started at another time than the
+// given one. It is false if either time is unknown.
 func (i Incarnation) OtherStart(start time.Time) bool {
 	own, ok := i.Start()
 	return ok && !start.IsZero() && own.UnixMilli() != start.UnixMilli()
 }
 
-// Same reports whether both may name one start: they have one id, and one time of the
-// start where both tell it. What tells no time says nothing of a new start.
+// Same reports whether both may denote the same start: they have the same id and, if both have a
+// start time, the same time. An incarnation without a time does not indicate a new start.
 func (i Incarnation) Same(other Incarnation) bool {
 	if i == other {
 		return true
--- a/route/incarnation_test.go
+++ b/route/incarnation_test.go
@@ -10,7 +10,7 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// An incarnation tells its id and start whatever signs the id has.
+// An incarnation returns its id and start time whichever characters the id contains.
 func TestIncarnationFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		id := rapid.StringMatching(`[a-z@0-9-]{1,12}`).Draw(rt, "id")
@@ -33,14 +33,14 @@
 		a, b Incarnation
 		same bool
 	}{
-		"the same start":         {NewIncarnation("i", at(5)), NewIncarnation("i", at(5)), true},
-		"another start":          {NewIncarnation("i", at(5)), NewIncarnation("i", at(6)), false},
-		"an earlier one":         {NewIncarnation("i", at(5)), NewIncarnation("i", at(4)), false},
-		"one that is not told":   {NewIncarnation("i", at(5)), NewIncarnation("i", time.Time{}), true},
-		"none that is told":      {NewIncarnation("i", time.Time{}), NewIncarnation("i", time.Time{}), true},
-		"another id":             {NewIncarnation("i", at(5)), NewIncarnation("k", at(5)), false},
-		"another id, not told":   {"i", "k", false},
-		"a start less than 1 ms": {NewIncarnation("i", at(5)), NewIncarnation("i", at(5).Add(time.Microsecond)), true},
+		"the same start":            {NewIncarnation("i", at(5)), NewIncarnation("i", at(5)), true},
+		"another start":             {NewIncarnation("i", at(5)), NewIncarnation("i", at(6)), false},
+		"an earlier one":            {NewIncarnation("i", at(5)), NewIncarnation("i", at(4)), false},
+		"one is unknown":            {NewIncarnation("i", at(5)), NewIncarnation("i", time.Time{}), true},
+		"none is known":             {NewIncarnation("i", time.Time{}), NewIncarnation("i", time.Time{}), true},
+		"another id":                {NewIncarnation("i", at(5)), NewIncarnation("k", at(5)), false},
+		"another id, unknown start": {"i", "k", false},
+		"a start less than 1 ms":    {NewIncarnation("i", at(5)), NewIncarnation("i", at(5).Add(time.Microsecond)), true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -50,12 +50,12 @@
 	}
 }
 
-// incarnationAt is the incarnation of engine 0 of the tests' boards that started at a second.
+// incarnationAt returns the incarnation of engine 0 that started at the given second.
 func incarnationAt(second int64) Incarnation { return NewIncarnation("0", time.Unix(second, 0)) }
 
-// A target that starts again under the id and at the address that it had holds and knows
-// nothing of before: what was believed of the earlier start is gone, whatever clock it
-// started by, and what is still told of that start changes nothing.
+// A target that restarts with the same id and address has lost its state: everything believed about
+// the earlier start is discarded, whatever start time its clock reports, and late information about
+// that start has no effect.
 func TestTargetRestart(t *testing.T) {
 	first, again := incarnationAt(500), incarnationAt(400)
 	setup := func(t *testing.T) (*partsBoard, *target) {
@@ -63,7 +63,7 @@
 		p.restart(first, "1", false)
 		return p, p.b.targets[testAddr(0)]
 	}
-	t.Run("what it held", func(t *testing.T) {
+	t.Run("its cache", func(t *testing.T) {
 		p, target := setup(t)
 		part := Part{ID: "aa", Tokens: 3000}
 		p.b.PartChanges(p.now, testAddr(0), time.Unix(500, 0), true, []PartChange{{"salt", part.ID, part.Tokens}})
@@ -71,9 +71,9 @@
 		slot := target.slot
 		p.restart(again, "1", false)
 		require.Empty(t, target.parts.tokens)
-		require.NotEqual(t, slot, target.slot, "own sends are believed of a slot")
+		require.NotEqual(t, slot, target.slot, "cache entries of own sends belong to a slot")
 	})
-	t.Run("how it failed and how fast it was", func(t *testing.T) {
+	t.Run("its failures and its speed", func(t *testing.T) {
 		p, target := setup(t)
 		target.learned, target.service = 9, time.Hour
 		target.failedSends.add(p.now, 50)
@@ -84,7 +84,7 @@
 		require.Zero(t, p.b.failurePenalty(p.now, target))
 		require.True(t, target.usable())
 	})
-	t.Run("what peers have there", func(t *testing.T) {
+	t.Run("the load of peers", func(t *testing.T) {
 		p, target := setup(t)
 		load := func(i Incarnation, n int) map[string]PeerState {
 			return map[string]PeerState{"p": {Loads: []Load{{Target: TargetKey{testAddr(0), i}, InFlight: n, Prefill: 1000, Tokens: 500}}}}
@@ -96,9 +96,9 @@
 		require.Zero(t, target.peerPrefill)
 		require.Zero(t, target.peerTokens)
 		p.b.MergePeers(p.now, load(first, 7), 2)
-		require.Zero(t, target.peerInFlight, "a peer that does not know yet")
+		require.Zero(t, target.peerInFlight, "a peer that does not know of the restart yet")
 	})
-	t.Run("that it was leaving", func(t *testing.T) {
+	t.Run("its draining mark", func(t *testing.T) {
 		p, target := setup(t)
 		p.restart(first, "1", true)
 		require.False(t, target.usable())
@@ -117,11 +117,11 @@
 		require.True(t, ok)
 		require.Equal(t, "2", weights, "numbered weights rise within a start alone")
 	})
-	t.Run("a start that a peer tells of first", func(t *testing.T) {
+	t.Run("a start that a peer reports first", func(t *testing.T) {
 		p, target := setup(t)
 		p.b.MarkDraining(TargetKey{testAddr(0), again})
 		p.b.MergePeers(p.now, map[string]PeerState{"p": {Loads: []Load{{Target: TargetKey{testAddr(0), again}, InFlight: 7}}}}, 2)
-		require.True(t, target.usable(), "it says nothing of the start that the list names")
+		require.True(t, target.usable(), "it does not apply to the start that the list names")
 		require.Zero(t, target.peerInFlight)
 		p.restart(again, "1", false)
 		require.False(t, target.usable(), "its mark holds once the list names it")
@@ -133,13 +133,13 @@
 		require.Equal(t, first, target.incarnation)
 		require.Equal(t, slot, target.slot)
 	})
-	t.Run("a word without a start", func(t *testing.T) {
+	t.Run("a report without a start time", func(t *testing.T) {
 		p, target := setup(t)
 		target.learned = 9
 		p.restart(NewIncarnation("0", time.Time{}), "1", false)
-		require.EqualValues(t, 9, target.learned, "it says nothing of a new start")
+		require.EqualValues(t, 9, target.learned, "it does not indicate a new start")
 	})
-	t.Run("two starts between two readings", func(t *testing.T) {
+	t.Run("two starts between two reports", func(t *testing.T) {
 		p, target := setup(t)
 		p.restart(incarnationAt(600), "1", false)
 		p.restart(incarnationAt(700), "1", false)
@@ -147,19 +147,19 @@
 	})
 }
 
-// restart gives the board an entry of engine 0.
-func (p *partsBoard) restart(i Incarnation, weights string, leaving bool) {
+// restart passes the board a list entry of engine 0.
+func (p *partsBoard) restart(i Incarnation, weights string, draining bool) {
 	p.b.SetTargets(p.now, []ListedTarget{
-		{Addr: testAddr(0), Labels: map[string]string{"s": "e"}, Leaving: leaving, Incarnation: i},
+		{Addr: testAddr(0), Labels: map[string]string{"s": "e"}, Leaving: draining, Incarnation: i},
 		{Addr: storeTestAddr, Labels: map[string]string{"s": "k"}},
 	})
 	p.b.Report(p.now, testAddr(0), Report{
-		Incarnation: i, Weights: map[string]string{"m": weights}, PrefillRate: 50000, Slots: 64, Leaving: leaving,
+		Incarnation: i, Weights: map[string]string{"m": weights}, PrefillRate: 50000, Slots: 64, Leaving: draining,
 	})
 }
 
-// Events of another start than the list names are not taken, whichever of the two is the
-// later, and what was believed to be held is not relied on any more.
+// Cache events of another start than the listed one are ignored, whichever of the two is later, and
+// the target's believed cache contents are no longer used.
 func TestEventsOfOtherIncarnation(t *testing.T) {
 	p := newPartsBoard(t, 1, WithEventHandler(func(event.Event) {}))
 	p.restart(incarnationAt(500), "1", false)
@@ -173,12 +173,12 @@
 		require.True(t, p.b.PartChanges(p.now, testAddr(0), time.Unix(500, 0), true, held))
 		require.Equal(t, 1, tokens())
 	}
-	require.True(t, p.b.PartChanges(p.now, testAddr(0), time.Time{}, false, nil), "a target that tells no start")
+	require.True(t, p.b.PartChanges(p.now, testAddr(0), time.Time{}, false, nil), "a target that reports no start time")
 	require.Equal(t, 1, tokens())
 }
 
-// A new start that only an answer told of is sent to by what is known of the earlier one
-// until it reports itself: a router that polls seldom has nothing else to go by.
+// A new start known only from an answer is sent to by the state of the earlier one until it reports
+// itself, because a router that polls rarely has no other information.
 func TestTargetRestartBeforeReport(t *testing.T) {
 	p := newPartsBoard(t, 1)
 	p.restart(incarnationAt(500), "2", false)
@@ -189,7 +189,7 @@
 	require.Equal(t, "2", weights)
 	p.restart(incarnationAt(600), "1", false)
 	weights, _ = target.serves("m", "")
-	require.Equal(t, "1", weights, "its own report counts, also with older weights")
+	require.Equal(t, "1", weights, "its own report counts, even with older weights")
 	p.restart(incarnationAt(600), "0", false)
 	weights, _ = target.serves("m", "")
 	require.Equal(t, "1", weights, "within a start they rise")
--- a/route/limit.go
+++ b/route/limit.go
@@ -8,13 +8,13 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// orgState is what a router knows of one organisation's use.
+// orgState is what a router knows of one organisation's usage.
 type orgState struct {
 	requests sharedBucket
 	tokens   sharedBucket
 	inFlight int
 	offered  meter
-	// share is this router's part of the organisation's requests in flight, from 0 to 1.
+	// share is this router's share of the organisation's limit on requests in flight, from 0 to 1.
 	share float64
 }
 
@@ -33,16 +33,17 @@
 	return o
 }
 
-// Charge is what a request was charged of its organisation's limits; the zero one is nothing.
+// Charge is what a request was charged against its organisation's limits. The zero value is no
+// charge.
 type Charge struct {
 	org              string
 	requests, tokens float64
 }
 
-// Charge takes a request from its organisation's limits or says why not. Tokens is what it
-// counts; with zero it says nothing of its size. A shell that knows organisation and size
-// before it has read the whole request charges it then, and gives the charge back or
-// hands it over with [Request.Charge].
+// Charge charges a request to its organisation's limits, or returns a refusal. tokens is the cost
+// of the request; zero means that its size is unknown. A caller that knows organisation and size
+// before the whole request is read charges it then, and either refunds the charge or passes it on
+// with [Request.Charge].
 func (b *Board) Charge(now time.Time, name string, tokens int) (Charge, *Refusal) {
 	if name == "" || b.snap == nil {
 		// Routes without keys have no organisation and no limits.
@@ -59,16 +60,16 @@
 	c := Charge{org: name, requests: 1, tokens: float64(tokens)}
 	o.offered.add(now, 1)
 	if g := b.limitGrant(now, l.RequestsPerSecond, l.RequestBurst); g.rate > 0 && !o.requests.tryTake(now, g, c.requests, b.rng.Float64()) {
-		return Charge{}, b.overLimit(now, &o.requests, g, c.requests, "requests")
+		return Charge{}, b.limitRefusal(now, &o.requests, g, c.requests, "requests")
 	}
 	if g := b.limitGrant(now, l.TokensPerSecond, l.TokenBurst); g.rate > 0 && !o.tokens.tryTake(now, g, c.tokens, b.rng.Float64()) {
 		o.requests.refund(now, c.requests)
-		return Charge{}, b.overLimit(now, &o.tokens, g, c.tokens, "tokens")
+		return Charge{}, b.limitRefusal(now, &o.tokens, g, c.tokens, "tokens")
 	}
 	return c, nil
 }
 
-// RefundCharge returns a charge of a request that did not run.
+// RefundCharge refunds the charge of a request that did not run.
 func (b *Board) RefundCharge(now time.Time, c Charge) {
 	if o, ok := b.orgs[c.org]; ok {
 		o.requests.refund(now, c.requests)
@@ -76,23 +77,23 @@
 	}
 }
 
-// slackBurstShare is the part of the slack that is there as a burst from the beginning, so that a
-// large request below the limit is not refused. The rest, and what all may go over the limit
-// by, is for what is let through before all have heard of it: so 90 routers of which 15 are cut off
-// as an organisation begins to ask for four times its limit stay below the bound
-// (TestLimitBound). One that is alone hears of everything at once, and keeps back what is
-// under way.
+// slackBurstShare is the part of the slack that is available as a burst from the start, so that a
+// large request is not refused below the limit. The rest of the slack, and the allowed overage,
+// cover what is admitted before all routers know of it. With this share, 90 routers stay below the
+// bound even if 15 of them are cut off just as an organisation begins to ask for four times its
+// limit. slackBurstShareAlone applies to a router that is alone: it knows all usage at once and
+// reserves only for requests in flight.
 const (
 	slackBurstShare      = 0.35
 	slackBurstShareAlone = 0.8
-	// minRateShare is the part of a rate that is used, besides what all may go over it by: the
-	// rest is for what is let through before all have heard of it, and for what routers used last
-	// that end or are cut off. With a tenth over, 0.96 is used, which TestLimitBound is played with.
+	// minRateShare is the part of a rate that is used, in addition to the allowed overage. The rest
+	// covers what is admitted before all routers know of it, and the last usage of routers that
+	// stop or are cut off. With an overage of a tenth, 0.96 of the rate is used.
 	minRateShare = 0.86
 )
 
-// limitGrant is this router's and those routers' part of a limit that it is in touch with; the
-// others have an equal part each, since nobody knows what they use.
+// limitGrant returns the part of a limit for this router and those it exchanges usage with. Each
+// other router is assumed to use an equal share, since its usage is unknown.
 func (b *Board) limitGrant(now time.Time, rate, burst float64) grant {
 	if rate <= 0 {
 		return grant{}
@@ -112,33 +113,35 @@
 	return grant{rate: rate * part, burst: burst * part, whole: known == all, alone: known == 1}
 }
 
-// The bounds of how many routers share a limit.
+// Constants for the number of routers that share a limit.
 const (
-	// peerUsageMaxAge is the age up to which the word of another router counts for limits. Words
-	// come every 250 ms; one that is cut off uses what it had for as long.
+	// peerUsageMaxAge is the age up to which another router's usage report counts. Reports arrive
+	// every 250 ms. A router that is cut off keeps using its grant for this long.
 	peerUsageMaxAge = 700 * time.Millisecond
-	// peerDiscoveryTime is how long a router that began may have met no other, and assumedRouters how
-	// many share the limits with it until then, where its settings name only some and it was
-	// not told how many there are. 90 that began together took a third of each limit each.
+	// peerDiscoveryTime is how long after its start a router may have met no other router. Until
+	// then it assumes that assumedRouters share the limits, if its settings name only some of them
+	// and the number is unknown. Without this, each of 90 routers that started together took a
+	// third of each limit.
 	peerDiscoveryTime = 2500 * time.Millisecond
 	assumedRouters    = 512
-	// limitSharersWindow is how long routers that are not heard of keep their parts. Nobody can
-	// tell those that are cut off, and use them, from those that are gone; a cut of a node
-	// or a failure domain is mended within minutes.
+	// limitSharersWindow is how long routers from which nothing is received any more keep their
+	// shares. Routers that are cut off and still use their share cannot be told apart from stopped
+	// ones. A node or failure domain that is cut off is usually restored within minutes.
 	limitSharersWindow = time.Minute
 )
 
-// countLimitSharers returns how many routers this one shares its account of limits with, itself
-// among them, and how many there may be.
+// countLimitSharers returns how many routers share their usage with this one, including itself, and
+// how many routers there may be in total.
 func (b *Board) countLimitSharers(now time.Time) (known, all int) {
 	return b.countLimitSharersAt(now, b.limitReporters, b.limitsReportedAt)
 }
 
-// countLimitSharersAt is together for an account of which so many other routers told at a time.
-func (b *Board) countLimitSharersAt(now time.Time, counted int, toldAt time.Time) (known, all int) {
+// countLimitSharersAt is like countLimitSharers, for a bucket whose usage was reported by reporters
+// other routers at reportedAt.
+func (b *Board) countLimitSharersAt(now time.Time, reporters int, reportedAt time.Time) (known, all int) {
 	known = 1
-	if now.Sub(toldAt) <= peerUsageMaxAge && !b.disabled.Has(LimitAccount) {
-		known += counted
+	if now.Sub(reportedAt) <= peerUsageMaxAge && !b.disabled.Has(LimitAccount) {
+		known += reporters
 	}
 	all = max(b.limitSharers.value, b.routers)
 	if b.partialPeerList && !b.soleRouter && known == 1 && all <= b.configuredRouters && now.Sub(b.begun) < peerDiscoveryTime {
@@ -147,8 +150,8 @@
 	return min(known, all), all
 }
 
-// admitOrg takes a request from its organisation's limits, but for what was charged
-// already, or says why not.
+// admitOrg charges a request to its organisation's limits, unless it is already charged, or returns
+// a refusal.
 func (b *Board) admitOrg(now time.Time, r *request) *Refusal {
 	if r.Org == "" {
 		return nil
@@ -173,28 +176,28 @@
 	return nil
 }
 
-// shareOf is a router's share of a whole number, at least one.
+// shareOf returns a router's share of an integer limit, at least one.
 func shareOf(n int, share float64) int {
 	return max(1, int(math.Round(float64(n)*share)))
 }
 
-// refundUnusedTokens gives back the tokens that an answer did not use, where the request's own
-// estimate was charged.
+// refundUnusedTokens refunds the tokens that an answer did not use, if the request was charged by
+// its estimated size.
 func (b *Board) refundUnusedTokens(now time.Time, r *request, u *Usage) {
 	if o, ok := b.orgs[r.Org]; ok && u != nil && r.Model != nil && r.estimated {
 		o.tokens.refund(now, float64(max(0, r.MaxTokens-u.Completion)))
 	}
 }
 
-// defaultMinRetryAfter is the least time a caller is told to stay away unless an option says otherwise.
+// defaultMinRetryAfter is the least Retry-After unless [WithMinRetryAfter] sets another.
 const defaultMinRetryAfter = time.Second
 
-func (b *Board) overLimit(now time.Time, a *sharedBucket, g grant, cost float64, unit string) *Refusal {
+func (b *Board) limitRefusal(now time.Time, bucket *sharedBucket, g grant, cost float64, unit string) *Refusal {
 	known, all := b.countLimitSharers(now)
 	return &Refusal{
-		Cause: CauseLimit, RetryAfter: max(a.wait(g, cost), b.minRetryAfter),
+		Cause: CauseLimit, RetryAfter: max(bucket.wait(g, cost), b.minRetryAfter),
 		Detail: fmt.Sprintf("limit on %s per second: %.0f wanted, %.0f left, %.0f a second come in, %.0f are asked for, for %d of %d routers",
-			unit, cost, a.level, g.rate, a.others.asked+a.asked.rate(now), known, all),
+			unit, cost, bucket.level, g.rate, bucket.others.asked+bucket.asked.rate(now), known, all),
 	}
 }
 
@@ -206,15 +209,15 @@
 	return 1
 }
 
-// mergeOrgDemands takes what the others told of organisations' use, and divides the bounds on
-// requests in flight by the demand at each router.
+// mergeOrgDemands merges the usage of organisations that the other routers reported, and divides
+// the limits on requests in flight by the demand at each router.
 func (b *Board) mergeOrgDemands(now time.Time, states map[string]PeerState) {
 	b.limitReporters, b.limitsReportedAt = 0, now
-	told := make(map[string]Demand)
+	reported := make(map[string]Demand)
 	for _, s := range states {
 		b.limitReporters += s.Counted
 		for _, d := range s.Demands {
-			told[d.Org] = told[d.Org].plus(d)
+			reported[d.Org] = reported[d.Org].plus(d)
 		}
 	}
 	known := 1
@@ -225,18 +228,18 @@
 			total[d.Org] += d.Rate
 		}
 	}
-	for name := range told {
+	for name := range reported {
 		if _, ok := b.configuredOrg(name); ok {
 			b.orgState(name)
 		}
 	}
 	for name, o := range b.orgs {
-		b.mergeOrgUsage(now, name, o, told[name])
+		b.mergeOrgUsage(now, name, o, reported[name])
 		o.shareInFlight(now, total[name], b.routers, known)
 	}
 }
 
-// configuredOrg returns an organisation of the configuration in force.
+// configuredOrg returns an organisation of the current configuration.
 func (b *Board) configuredOrg(name string) (*policy.Org, bool) {
 	if b.snap == nil {
 		return nil, false
@@ -244,17 +247,17 @@
 	return b.snap.Org(name)
 }
 
-// mergeOrgUsage takes what the others told of one organisation's use.
-func (b *Board) mergeOrgUsage(now time.Time, name string, o *orgState, told Demand) {
+// mergeOrgUsage merges the usage of one organisation that the other routers reported.
+func (b *Board) mergeOrgUsage(now time.Time, name string, o *orgState, reported Demand) {
 	if org, ok := b.configuredOrg(name); ok {
 		l := org.Limits
-		o.requests.mergeOthers(now, b.limitGrant(now, l.RequestsPerSecond, l.RequestBurst), told.requests())
-		o.tokens.mergeOthers(now, b.limitGrant(now, l.TokensPerSecond, l.TokenBurst), told.tokens())
+		o.requests.mergeOthers(now, b.limitGrant(now, l.RequestsPerSecond, l.RequestBurst), reported.requests())
+		o.tokens.mergeOthers(now, b.limitGrant(now, l.TokensPerSecond, l.TokenBurst), reported.tokens())
 	}
 }
 
-// shareInFlight works out this router's part of the bound on requests in flight. Demand is
-// measured and told late, so a part of the bound is shared evenly.
+// shareInFlight computes this router's share of the limit on requests in flight. Demand is measured
+// and reported with a delay, so part of the limit is divided evenly.
 func (o *orgState) shareInFlight(now time.Time, others float64, routers, known int) {
 	even := 1 / float64(routers)
 	byDemand := even
@@ -268,5 +271,5 @@
 	o.share = evenShare*even + (1-evenShare)*byDemand
 }
 
-// evenShare is the part of every bound on requests in flight that is shared evenly between routers.
+// evenShare is the part of each limit on requests in flight that is divided evenly between routers.
 const evenShare = 0.2
--- a/route/limit_charge_test.go
+++ b/route/limit_charge_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a request was charged is given back if it ran nowhere, and counts once if it did, also
-// over a repeat.
+// A request's charge is refunded if the request ran nowhere, and counts once if it ran, even with a
+// retry.
 func TestLimitRefunded(t *testing.T) {
 	cases := map[string]struct {
 		end   func(w *world, a Attempt)
@@ -21,9 +21,9 @@
 				w.execute(w.board.Tick(w.now))
 			}
 		}, 0},
-		"its caller left while it ran": {func(w *world, a Attempt) { w.execute(w.board.CallerGone(w.now, a.Request)) }, 1},
-		"it ran":                       {func(w *world, _ Attempt) { w.end(w.takeInFlight(0), OutcomeDone, true, true) }, 1},
-		"it broke, was sent again and ran": {func(w *world, _ Attempt) {
+		"its caller disconnected while it ran": {func(w *world, a Attempt) { w.execute(w.board.CallerGone(w.now, a.Request)) }, 1},
+		"it ran":                               {func(w *world, _ Attempt) { w.end(w.takeInFlight(0), OutcomeDone, true, true) }, 1},
+		"it broke off, was retried and ran": {func(w *world, _ Attempt) {
 			w.end(w.takeInFlight(0), OutcomeBroken, false, false)
 			w.now = w.now.Add(time.Second)
 			w.execute(w.board.Tick(w.now))
@@ -43,7 +43,7 @@
 			require.InDelta(t, 0, before, 1e-9, "the charge is taken at once")
 			begun := w.now
 			c.end(w, w.inFlight[0])
-			// What came in meanwhile is no part of it.
+			// Tokens that were refilled in the meantime do not count.
 			came := w.now.Sub(begun).Seconds()
 			g := grant{rate: 1, burst: 1e9, whole: true, alone: true}
 			w.board.orgs["a"].requests.refill(w.now, g)
@@ -52,12 +52,13 @@
 	}
 }
 
-// A router's word counts for limits for peerUsageMaxAge, and not with those that it is joined with later.
+// A router's usage report counts for peerUsageMaxAge, and no longer if it is merged with others
+// after that.
 func TestLimitUpdatesAge(t *testing.T) {
 	s := PeerState{Counted: 3, Speaks: 3, Demands: []Demand{{Org: "a", Tokens: 5}}}
 	require.Equal(t, s, s.Aged(peerUsageMaxAge))
 	old := s.Aged(peerUsageMaxAge + time.Millisecond)
 	require.Zero(t, old.Counted)
 	require.Empty(t, old.Demands)
-	require.Equal(t, 3, old.Speaks, "it is a router all the same")
+	require.Equal(t, 3, old.Speaks, "it still counts as a router")
 }
--- a/route/limit_fleet_test.go
+++ b/route/limit_fleet_test.go
@@ -12,21 +12,20 @@
 	"github.com/pathhead/pathhead/policy"
 )
 
-// The fleets of these tests: routers report four times a second and hear of the others what
-// these said two reports before, as over relays. Limits count tokens, and are judged over
-// windows of 8 s with a tenth and 110,000 tokens over, as the users' sheet of the shifted
-// work has them.
+// The fleets of these tests. Routers report four times a second, and receive the reports of two
+// rounds ago, as over relays. Limits count tokens and are checked over windows of 8 s, with an
+// allowed overage of a tenth and 110,000 tokens, as the workload specification has them.
 const (
 	fleetReport  = 250 * time.Millisecond
 	fleetStep    = 10 * time.Millisecond
 	fleetWindow  = 8 * time.Second
 	fleetOverage = 0.1
 	fleetSlack   = 110_000
-	// fleetForgets is the silence after which routers forget each other.
-	fleetForgets = 2500 * time.Millisecond
+	// fleetPeerTimeout is the silence after which routers forget each other.
+	fleetPeerTimeout = 2500 * time.Millisecond
 )
 
-// limitFleet is the routers of one fleet, which keep one organisation's limit.
+// limitFleet is the routers of one fleet, which enforce one organisation's limit.
 type limitFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -35,22 +34,22 @@
 	cfg     *policy.Config
 	boards  []*Board
 	weights []float64
-	// side is the part of the fleet that a router reaches, cutAt when it was parted.
+	// side is the network partition that a router is in, cutAt the time of the partition.
 	side  []int
 	cutAt time.Time
-	// told are the states of the last reports, the newest last.
-	told lateReports
+	// reports are the states in the last reports, newest last.
+	reports lateReports
 	// frozen are routers that neither serve nor report.
 	frozen map[int]bool
-	// opts are those of the routers, charge is how one is asked for a cost.
+	// opts are the options of the routers; charge submits a cost to a router.
 	opts   []Option
 	charge func(router int, cost float64) bool
 
 	used []float64
-	// bucket is one that hears of everything at once; owed are the tokens that it lets through,
-	// served those that the routers do.
-	bucket       bucket
-	owed, served float64
+	// idealBucket is a single token bucket without delays. idealAdmitted are the tokens that it admits, admitted
+	// those that the routers admit.
+	idealBucket             bucket
+	idealAdmitted, admitted float64
 }
 
 func newLimitFleet(t *testing.T, n int, rate float64, seed uint64, opts ...Option) *limitFleet {
@@ -77,7 +76,7 @@
 	return f
 }
 
-// setRate puts a limit in force at all routers.
+// setRate sets the limit at all routers.
 func (f *limitFleet) setRate(rate float64) {
 	f.rate = rate
 	f.cfg = &policy.Config{
@@ -98,14 +97,14 @@
 	b.Adopt(f.now, snap)
 }
 
-// start starts a router, which knows by its settings that there are three or more.
+// start restarts a router whose settings name three or more routers.
 func (f *limitFleet) start(i int) {
 	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.side))), WithPartialPeerList()}, f.opts...)...)
 	f.configure(b)
 	f.boards[i] = b
 }
 
-// partition parts the fleet: router i reaches those of the same number alone.
+// partition splits the fleet: a router reaches those with the same side.
 func (f *limitFleet) partition(side func(i int) int) {
 	for i := range f.side {
 		f.side[i] = side(i)
@@ -113,9 +112,9 @@
 	f.cutAt = f.now
 }
 
-// report lets all routers hear of each other.
+// report delivers the reports of all routers.
 func (f *limitFleet) report() {
-	if !f.told.add(f.now, f.boards) {
+	if !f.reports.add(f.now, f.boards) {
 		return
 	}
 	sums := f.sums()
@@ -127,10 +126,10 @@
 	}
 }
 
-// sums joins what each side's routers told.
+// sums merges the reported states of each side's routers.
 func (f *limitFleet) sums() map[int]PeerState {
 	bySide := make(map[int][]PeerState)
-	for i, s := range f.told[0] {
+	for i, s := range f.reports[0] {
 		if !f.frozen[i] {
 			bySide[f.side[i]] = append(bySide[f.side[i]], s)
 		}
@@ -142,10 +141,10 @@
 	return out
 }
 
-// others returns what a router hears of the others: their sum less itself.
+// others returns what a router receives of the others: their sum without its own state.
 func (f *limitFleet) others(i int, sum PeerState) (states map[string]PeerState, routers int) {
 	routers = sum.Speaks
-	if f.now.Sub(f.cutAt) < fleetForgets {
+	if f.now.Sub(f.cutAt) < fleetPeerTimeout {
 		routers = len(f.boards)
 	}
 	if sum.Speaks <= 1 {
@@ -153,7 +152,7 @@
 	}
 	out := PeerState{Speaks: sum.Speaks - 1, Counted: sum.Counted - 1}
 	own := Demand{}
-	for _, d := range f.told[0][i].Demands {
+	for _, d := range f.reports[0][i].Demands {
 		own = d
 	}
 	for _, d := range sum.Demands {
@@ -165,8 +164,8 @@
 	return map[string]PeerState{"others": out}, routers
 }
 
-// prompt draws a request's size in tokens: a quarter with a long shared part, half short
-// ones, the rest calls that count 200. Sizes are as unlike as on the users' sheet.
+// prompt draws a request's size in tokens: a quarter has a long shared part, half are short, and
+// the rest are calls that count 200. The sizes vary as widely as in the workload specification.
 func (f *limitFleet) prompt() float64 {
 	spread := math.Exp(f.rng.NormFloat64() - 0.5)
 	switch x := f.rng.Float64(); {
@@ -178,10 +177,10 @@
 	return 200
 }
 
-// promptMean is the mean of such sizes, in tokens.
+// promptMean is the mean of these sizes, in tokens.
 const promptMean = 0.27*9000 + 0.49*850 + 0.24*200
 
-// play offers a multiple of the limit for a time.
+// play offers a multiple of the limit for a duration.
 func (f *limitFleet) play(d time.Duration, times float64) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(fleetStep) {
 		if f.now.Sub(epoch)%fleetReport == 0 {
@@ -198,7 +197,7 @@
 	}
 }
 
-// poisson draws how many requests come where so many come on average.
+// poisson draws a number of requests from the Poisson distribution with the given mean.
 func poisson(rng *rand.Rand, mean float64) int {
 	n := 0
 	for left := math.Exp(-mean); ; n++ {
@@ -208,14 +207,14 @@
 	}
 }
 
-// sendRequests asks one router and returns the tokens that it let through. A refused caller comes
-// back to another router, once.
+// sendRequests submits a request to a router and returns the tokens that it admitted. A refused
+// caller retries once at another router.
 func (f *limitFleet) sendRequests() float64 {
 	cost := f.prompt()
-	f.bucket.refillTo(f.now, f.rate, f.rate)
-	if f.bucket.level >= cost {
-		f.bucket.level -= cost
-		f.owed += cost
+	f.idealBucket.refillTo(f.now, f.rate, f.rate)
+	if f.idealBucket.level >= cost {
+		f.idealBucket.level -= cost
+		f.idealAdmitted += cost
 	}
 	for range 2 {
 		i := f.drawRouter()
@@ -223,7 +222,7 @@
 			continue
 		}
 		if f.charge(i, cost) {
-			f.served += cost
+			f.admitted += cost
 			return cost
 		}
 	}
@@ -240,7 +239,7 @@
 	return 0
 }
 
-// maxUsed returns the most that was used in one window.
+// maxUsed returns the largest usage in one window.
 func (f *limitFleet) maxUsed() float64 {
 	sum, most := 0.0, 0.0
 	for i, u := range f.used {
@@ -253,63 +252,63 @@
 	return most
 }
 
-// bound is what may be used in one window under a rate.
+// bound returns the largest allowed usage in one window under a rate.
 func (f *limitFleet) bound(rate float64) float64 {
 	return (rate*fleetWindow.Seconds()+rate)*(1+fleetOverage) + fleetSlack
 }
 
-// limitScenarios are histories of a fleet in which an organisation asks for several times as much as it may.
+// limitScenarios are scenarios in which an organisation asks for several times its limit.
 func limitScenarios() map[string]func(f *limitFleet) {
 	const surge = 4.2
 	return map[string]func(f *limitFleet){
 		"surge": func(f *limitFleet) { f.play(10*time.Second, surge) },
-		"a sixth is cut off as it begins": func(f *limitFleet) {
+		"a sixth is cut off as the surge begins": func(f *limitFleet) {
 			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(10*time.Second, surge)
 		},
-		"a sixth is cut off in it": func(f *limitFleet) {
+		"a sixth is cut off during the surge": func(f *limitFleet) {
 			f.play(3*time.Second, surge)
 			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(10*time.Second, surge)
 		},
-		"a sixth is cut off for long": func(f *limitFleet) {
+		"a sixth is cut off for a long time": func(f *limitFleet) {
 			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(20*time.Second, 0.5)
 			f.play(10*time.Second, surge)
 		},
-		"parted in halves for long": func(f *limitFleet) {
+		"partitioned in halves for a long time": func(f *limitFleet) {
 			f.partition(func(i int) int { return i % 2 })
 			f.play(20*time.Second, 0.5)
 			f.play(10*time.Second, surge)
 		},
-		"a cut heals in it": func(f *limitFleet) {
+		"a partition heals during the surge": func(f *limitFleet) {
 			f.partition(func(i int) int { return cutOff(i, 6) })
 			f.play(4*time.Second, surge)
 			f.partition(func(int) int { return 0 })
 			f.play(10*time.Second, surge)
 		},
-		"half start again in it": func(f *limitFleet) {
+		"half restart during the surge": func(f *limitFleet) {
 			f.play(4*time.Second, surge)
 			for i := 0; i < len(f.boards); i += 2 {
 				f.start(i)
 			}
 			f.play(10*time.Second, surge)
 		},
-		"all start again in it": func(f *limitFleet) {
+		"all restart during the surge": func(f *limitFleet) {
 			f.play(4*time.Second, surge)
-			f.told = nil
+			f.reports = nil
 			for i := range f.boards {
 				f.start(i)
 			}
 			f.play(10*time.Second, surge)
 		},
-		"one after the other": func(f *limitFleet) {
+		"one after the other restarts": func(f *limitFleet) {
 			for i := range f.boards {
 				f.start(i)
 				f.play(100*time.Millisecond, surge)
 			}
 		},
-		"some freeze and wake": func(f *limitFleet) {
+		"some freeze and resume": func(f *limitFleet) {
 			f.play(2*time.Second, surge)
 			for i := 0; i < len(f.boards)/9; i++ {
 				f.frozen[i] = true
@@ -321,8 +320,8 @@
 	}
 }
 
-// The bound of a limit holds in every window over all routers together, whatever happens to
-// them as an organisation asks for several times as much as it may.
+// A limit holds in every window over all routers together, whatever happens to them while an
+// organisation asks for several times its limit.
 func TestLimitBound(t *testing.T) {
 	for name, play := range limitScenarios() {
 		for _, n := range []int{1, 8, 90, 390} {
@@ -333,10 +332,10 @@
 	}
 }
 
-// The seeds on which routers that were started again in a surge went over the bound, by up to a
-// hundredth: they took it that nothing was owed.
+// Seeds for which routers restarted during a surge exceeded the bound by up to one percent, because
+// they assumed that nothing had been used before.
 func TestLimitBoundAgain(t *testing.T) {
-	for _, name := range []string{"all start again in it", "one after the other"} {
+	for _, name := range []string{"all restart during the surge", "one after the other restarts"} {
 		for _, seed := range []uint64{5, 6, 7} {
 			checkLimit(t, limitScenarios()[name], 90, 300_000, seed)
 			checkLimit(t, limitScenarios()[name], 90, 1_210_000, seed)
@@ -353,8 +352,9 @@
 	require.LessOrEqual(t, f.maxUsed(), f.bound(rate))
 }
 
-// limitRates are the limits of the users' sheet, in tokens a second: the least, one between and
-// the largest. The largest fleet is played with one, for the time that it takes.
+// limitRates returns the limits to test, in tokens per second: the smallest and the largest of the
+// workload specification and one in between. The largest fleet is tested with one limit, to bound
+// the duration of the test.
 func limitRates(routers int) []float64 {
 	if routers > 100 {
 		return []float64{1_210_000}
@@ -362,7 +362,7 @@
 	return []float64{29_000, 300_000, 1_210_000}
 }
 
-// cutOff gives every k-th router a side of its own, and all others one together.
+// cutOff puts every k-th router on a side of its own, and all others on one side.
 func cutOff(i, k int) int {
 	if i%k == 0 {
 		return i + 1
@@ -370,7 +370,7 @@
 	return 0
 }
 
-// A lowered limit binds one window after all know it.
+// A lowered limit holds from one window after all routers know it.
 func TestLimitLowered(t *testing.T) {
 	for _, n := range []int{1, 8, 90} {
 		f := newLimitFleet(t, n, 1_210_000, 1)
@@ -383,50 +383,50 @@
 	}
 }
 
-// An organisation that asks for four fifths of its limit on average is let through as far as
-// one bucket for all routers would let it, however its callers are spread over them.
+// An organisation that asks for four fifths of its limit on average is admitted as by a single
+// bucket, however its callers are spread over the routers.
 func TestLimitBelow(t *testing.T) {
 	for _, n := range []int{1, 8, 90, 390} {
 		for _, rate := range limitRates(n) {
 			t.Run(fmt.Sprintf("%d routers/%.0f", n, rate), func(t *testing.T) {
 				f := newLimitFleet(t, n, rate, 2)
 				f.play(3*time.Second, 0.3)
-				f.owed, f.served = 0, 0
+				f.idealAdmitted, f.admitted = 0, 0
 				f.play(60*time.Second, 0.8)
-				t.Logf("%.4f refused of what is owed", 1-f.served/f.owed)
-				require.GreaterOrEqual(t, f.served, 0.995*f.owed)
+				t.Logf("%.4f refused of what a single bucket admits", 1-f.admitted/f.idealAdmitted)
+				require.GreaterOrEqual(t, f.admitted, 0.995*f.idealAdmitted)
 			})
 		}
 	}
 }
 
-// The ways that were weighed, over 90 routers: what each uses of the bound in a surge, and
-// what it refuses of what one bucket for all would let through at 0.56 of the limit. The
-// account of all routers is within the bound and refuses nearly nothing.
+// Compares strategies on 90 routers: the share of the bound that each uses in a surge, and the
+// share that it refuses of what a single bucket would admit at 0.56 of the limit. The shared bucket
+// stays within the bound and refuses almost nothing.
 func TestLimitStrategies(t *testing.T) {
 	const routers = 90
-	ways := map[string]func(rate float64) *limitFleet{
-		"account": func(rate float64) *limitFleet { return newLimitFleet(t, routers, rate, 1) },
-		"equal parts": func(rate float64) *limitFleet {
+	strategies := map[string]func(rate float64) *limitFleet{
+		"shared bucket": func(rate float64) *limitFleet { return newLimitFleet(t, routers, rate, 1) },
+		"equal shares": func(rate float64) *limitFleet {
 			return newLimitFleet(t, routers, rate, 1, WithoutMechanisms(LimitAccount))
 		},
-		"parts by demand": func(rate float64) *limitFleet {
+		"shares by demand": func(rate float64) *limitFleet {
 			f := newLimitFleet(t, routers, rate, 1)
 			f.charge = partsByDemand(f)
 			return f
 		},
 	}
-	for name, way := range ways {
+	for name, strategy := range strategies {
 		for _, rate := range limitRates(routers) {
-			f := way(rate)
+			f := strategy(rate)
 			f.play(3*time.Second, 0.3)
-			f.owed, f.served = 0, 0
+			f.idealAdmitted, f.admitted = 0, 0
 			f.play(20*time.Second, 0.56)
-			refused := 1 - f.served/f.owed
+			refused := 1 - f.admitted/f.idealAdmitted
 			f.play(10*time.Second, 4.2)
 			used := f.maxUsed() / f.bound(rate)
 			t.Logf("%s, %.0f: %.3f refused, %.2f of the bound", name, rate, refused, used)
-			if name == "account" {
+			if name == "shared bucket" {
 				require.LessOrEqual(t, refused, 0.005)
 				require.LessOrEqual(t, used, 1.0)
 			}
@@ -434,8 +434,8 @@
 	}
 }
 
-// partsByDemand keeps a bucket at each router, which has a fifth of the limit in equal parts and
-// the rest by what each was asked lately, and may go below zero.
+// partsByDemand keeps a bucket per router. A fifth of the limit is divided evenly and the rest by
+// the recent demand at each router; the bucket may go below zero.
 func partsByDemand(f *limitFleet) func(router int, cost float64) bool {
 	type part struct {
 		bucket bucket
--- a/route/limit_restart_test.go
+++ b/route/limit_restart_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// limitRestarts is a limit world whose routers are started anew, with what is admitted in each step.
+// limitRestarts is a limitWorld whose routers are restarted. It records what is admitted in each
+// step.
 type limitRestarts struct {
 	*limitWorld
 	t        *testing.T
@@ -16,8 +17,8 @@
 	admitted []int
 }
 
-// The fleet of the test, the limit in requests a second, what is offered, and the
-// window over which the limit is judged.
+// The fleet of the test: the limit in requests per second, the load offered, and the window over
+// which the limit is checked.
 const (
 	limitRouters = 8
 	limitRate    = 400
@@ -30,20 +31,20 @@
 	return &limitRestarts{limitWorld: newLimitWorld(t, limitRouters, limitRate), t: t, rng: rand.New(rand.NewPCG(1, 1))}
 }
 
-// restart starts a router anew, which knows the others by its settings alone.
+// restart restarts a router, which then knows the others only by its settings.
 func (w *limitRestarts) restart(i int) {
 	b := NewBoard(WithSeed(1), WithRouters(limitRouters))
 	b.Adopt(w.now, testSetup{rate: limitRate}.snapshot(w.t))
 	w.boards[i] = b
 }
 
-func (w *limitRestarts) surge() {
+func (w *limitRestarts) restartAll() {
 	for i := range limitRouters {
 		w.restart(i)
 	}
 }
 
-// advance lets time pass, in which more is offered than the limit allows.
+// advance advances the time while more is offered than the limit allows.
 func (w *limitRestarts) advance(d time.Duration) {
 	for ; d > 0; d -= limitStep {
 		w.limitWorld.admitted = 0
@@ -52,7 +53,7 @@
 	}
 }
 
-// maxUsed returns the most that was admitted in one window.
+// maxUsed returns the largest number of requests admitted in one window.
 func (w *limitRestarts) maxUsed() int {
 	n, most := 0, 0
 	for i, a := range w.admitted {
@@ -64,25 +65,24 @@
 	return most
 }
 
-// An organisation's limit holds over all routers and any window, however often they
-// are started anew: a process that has just begun does not know what the last one of
-// its name admitted, and owes nobody a burst.
+// An organisation's limit holds over all routers and in any window, however often they restart. A
+// new process does not know what its predecessor admitted, so it must not start with a burst.
 func TestLimitOverRestarts(t *testing.T) {
 	cases := map[string]func(w *limitRestarts){
-		"nobody restarts": func(w *limitRestarts) { w.advance(2 * limitWindow) },
-		"all once": func(w *limitRestarts) {
+		"none restarts": func(w *limitRestarts) { w.advance(2 * limitWindow) },
+		"all restart once": func(w *limitRestarts) {
 			w.advance(limitWindow)
-			w.surge()
+			w.restartAll()
 			w.advance(limitWindow)
 		},
-		"all again and again": func(w *limitRestarts) {
+		"all restart repeatedly": func(w *limitRestarts) {
 			w.advance(limitWindow)
 			for range 8 {
-				w.surge()
+				w.restartAll()
 				w.advance(time.Second)
 			}
 		},
-		"in turn": func(w *limitRestarts) {
+		"one after the other restarts": func(w *limitRestarts) {
 			w.advance(limitWindow)
 			for i := range 3 * limitRouters {
 				w.restart(i % limitRouters)
@@ -95,7 +95,7 @@
 			w := newLimitRestarts(t)
 			play(w)
 			t.Logf("%d admitted", w.maxUsed())
-			// A burst of a second's worth is allowed once in a window.
+			// One burst, worth one second of the limit, is allowed per window.
 			require.LessOrEqual(t, float64(w.maxUsed()), 1.1*limitRate*(limitWindow.Seconds()+1))
 		})
 	}
--- a/route/limit_test.go
+++ b/route/limit_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// limitWorld is several boards of one fleet that call no target: every admitted request ends at once.
+// limitWorld is several boards of one fleet without targets: every admitted request ends at once.
 type limitWorld struct {
 	now      time.Time
 	boards   []*Board
@@ -51,7 +51,7 @@
 	}
 }
 
-// play offers rate requests a second for a time, spread by weights over the boards.
+// play offers rate requests per second for a duration, spread by weight over the boards.
 func (w *limitWorld) play(rng *rand.Rand, d time.Duration, rate float64, weight func(board int) float64) {
 	const step = 5 * time.Millisecond
 	sum := 0.0
@@ -78,7 +78,8 @@
 	cases := map[string]struct {
 		weight func(int) float64
 		cut    []int
-		// least is the share of the limit that is used at least, of one second's worth of burst aside.
+		// least is the least share of the limit that must be used, not counting a burst of one
+		// second.
 		least float64
 	}{
 		"even":                 {weight: even, least: 0.85},
@@ -124,8 +125,8 @@
 	require.LessOrEqual(t, float64(w.admitted)/(limit*seconds), 1.1)
 }
 
-// TestFairness lets one organisation offer ten times what it did, and checks
-// that the other is served as before and nothing is left idle.
+// TestFairness lets one organisation offer ten times its previous load, and checks that the other
+// is served as before and that no capacity stays idle.
 func TestFairness(t *testing.T) {
 	w := newWorld(t, 2, 0, testSetup{window: 4})
 	served := make(map[string]int)
@@ -136,7 +137,8 @@
 		}
 		w.request("b", "y", false, true)
 		w.now = w.now.Add(50 * time.Millisecond)
-		// Each round the engines finish two requests: a tenth of what is offered, twice what b asks for.
+		// In each round the engines finish two requests: a tenth of the offered load, and twice
+		// what b requests.
 		for range 2 {
 			if len(w.inFlight) > 0 {
 				a := w.takeInFlight(0)
--- a/route/newest.go
+++ b/route/newest.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// NewestSpan says that weights were known to be the newest named ones of a model from
-// First to Last. They may have been so for longer on either side: First is at or after
-// the moment at which they were named, Last at or before that of the next naming.
+// NewestSpan states that weights were known to be the newest of a model from First to Last. They
+// may have been the newest for longer in both directions: First is at or after the time at which
+// they were named, Last at or before the time of the next naming.
 //
-// A process that only remembered when it heard of a naming would count its age anew
-// after each restart, join or gap. Spans of several processes join into one, which
-// bounds the moment of a naming from both sides.
+// A process that only remembered when it learned of a naming would restart the age after each
+// restart, join or gap. Spans of several processes merge into one that bounds the time of a naming
+// from both sides.
 type NewestSpan struct {
 	Model string
-	// Weights is empty while none of the model were named; those that targets have
-	// then are the first.
+	// Weights is empty while no weights of the model have been named; targets then have the first
+	// ones.
 	Weights string
-	// First is never zero; a zero Last says that no such moment is known.
+	// First is never zero. A zero Last means that no such time is known.
 	First, Last time.Time
 }
 
-// NewestUpdate is a [NewestSpan] as one process tells another, whose clock is not its own.
+// NewestUpdate is a [NewestSpan] as sent to another process, with ages instead of times because
+// clocks differ.
 type NewestUpdate struct {
 	Model   string
 	Weights string
-	// FirstAge and LastAge are how long before the word First and Last were; a
-	// negative LastAge says that Last is not known.
+	// FirstAge and LastAge are the ages of First and Last when the update was sent. A negative
+	// LastAge means that Last is unknown.
 	FirstAge, LastAge time.Duration
 }
 
-// NewestAt returns the span of weights that were the newest when a call from begun to
-// heard was answered.
-func NewestAt(begun, heard time.Time, model, weights string) NewestSpan {
-	return NewestSpan{Model: model, Weights: weights, First: heard, Last: begun}
+// NewestAt returns the span of weights that a call between begun and received reported as the
+// newest.
+func NewestAt(begun, received time.Time, model, weights string) NewestSpan {
+	return NewestSpan{Model: model, Weights: weights, First: received, Last: begun}
 }
 
-// Span returns what a word says that was given between begun and heard; a zero begun
-// says that it is not known how long the word was on its way.
-func (w NewestUpdate) Span(begun, heard time.Time) NewestSpan {
-	s := NewestSpan{Model: w.Model, Weights: w.Weights, First: heard.Add(-w.FirstAge)}
+// Span returns the span of an update that was sent between begun and received. A zero begun means
+// that its time in transit is unknown.
+func (w NewestUpdate) Span(begun, received time.Time) NewestSpan {
+	s := NewestSpan{Model: w.Model, Weights: w.Weights, First: received.Add(-w.FirstAge)}
 	if !begun.IsZero() && w.LastAge >= 0 {
 		s.Last = begun.Add(-w.LastAge)
 	}
 	return s
 }
 
-// Update returns what the span says to another process now.
+// Update returns the span in the form sent to other processes.
 func (s NewestSpan) Update(now time.Time) NewestUpdate {
 	w := NewestUpdate{Model: s.Model, Weights: s.Weights, FirstAge: now.Sub(s.First), LastAge: -1}
 	if !s.Last.IsZero() {
@@ -57,10 +58,10 @@
 	return w
 }
 
-// spans are the known spans of one model's weights, the oldest weights first.
+// spans are the known spans of one model's weights, oldest weights first.
 type spans []NewestSpan
 
-// join takes a span and reports whether its weights are newer than all known.
+// join merges a span and reports whether its weights are newer than all known ones.
 func (l spans) join(s NewestSpan) (out spans, newer bool) {
 	i, found := slices.BinarySearchFunc(l, s.Weights, func(a NewestSpan, w string) int { return compareWeights(a.Weights, w) })
 	if !found {
@@ -76,11 +77,11 @@
 	return l, false
 }
 
-// OlderWeights reports whether the numbered weights a came before b.
+// OlderWeights reports whether the numbered weights a are older than b.
 func OlderWeights(a, b string) bool { return compareWeights(a, b) < 0 }
 
-// ConsecutiveWeights reports whether no weights can have been named between two: they are counted
-// from 1 on, and those that targets have before any are named are the first.
+// ConsecutiveWeights reports whether no weights can have been named between before and weights.
+// Weights are numbered from 1, and targets have the first ones before any are named.
 func ConsecutiveWeights(before, weights string) bool {
 	was, err := strconv.ParseInt(cmp.Or(before, "1"), 10, 64)
 	if err != nil {
@@ -90,23 +91,23 @@
 	return err == nil && is <= was+1
 }
 
-// compareWeights compares numbered weights by their age, the oldest first.
+// compareWeights orders numbered weights, oldest first.
 func compareWeights(a, b string) int {
 	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
 }
 
-// prune drops the spans of weights that were replaced for certain more than limit ago,
-// and those of weights beyond the newest most. The next newer span says as much of them.
-func (l spans) prune(now time.Time, limit time.Duration, most int) spans {
-	n := max(0, len(l)-most)
-	for n+1 < len(l) && now.Sub(l[n+1].First) >= limit {
+// prune drops the spans of weights that were certainly replaced more than limit ago, and all but
+// the newest most. The next newer span bounds their replacement as well.
+func (l spans) prune(now time.Time, maxAge time.Duration, maxSpans int) spans {
+	n := max(0, len(l)-maxSpans)
+	for n+1 < len(l) && now.Sub(l[n+1].First) >= maxAge {
 		n++
 	}
 	return slices.Delete(l, 0, n)
 }
 
-// replacedBetween returns between which moments weights were replaced by newer ones; a zero
-// after says that the earlier bound is not known, ok false that none newer are known.
+// replacedBetween returns the bounds of the time at which weights were replaced by newer ones. A
+// zero after means that the lower bound is unknown; ok is false if no newer weights are known.
 func (l spans) replacedBetween(weights string) (after, by time.Time, ok bool) {
 	for _, s := range l {
 		switch {
--- a/route/peer_sends.go
+++ b/route/peer_sends.go
@@ -7,31 +7,32 @@
 	"github.com/zeebo/xxh3"
 )
 
-// SentRequest says that a request was just sent to a target and what it has to read there.
+// SentRequest reports that a request was just sent to a target, and what the target has to read for
+// it.
 type SentRequest struct {
-	// Target is the number of one incarnation of a target, by [Mark.Number].
+	// Target is the incarnation of the target, as returned by [TargetKey.Hash].
 	Target  uint64
 	Prefill int
 }
 
-// Hash is a short name of one incarnation of a target, the same on all routers.
+// Hash returns a short identifier of the incarnation, which is the same on all routers.
 func (m TargetKey) Hash() uint64 { return hashIncarnation(hashAddr(m.Target), m.Incarnation) }
 
 func hashIncarnation(addrHash uint64, incarnation Incarnation) uint64 {
 	return xxh3.HashStringSeed(string(incarnation), addrHash)
 }
 
-// peerSendTTL is how long a request counts besides the loads that relays tell, which
-// are as old in the mean: a pause between two reports to a relay and one at it.
+// peerSendTTL is how long a request counts in addition to the loads reported over relays. It is the
+// mean age of those: one interval between reports to a relay and one at the relay.
 const peerSendTTL = 350 * time.Millisecond
 
-// peerSend is what a request of a peer has to read, and when it was told of.
+// peerSend is what a peer's request has to read, and when it was reported.
 type peerSend struct {
 	at      time.Time
 	prefill int
 }
 
-// AddPeerSends takes the word that peers sent requests just now.
+// AddPeerSends records requests that peers have just sent.
 func (b *Board) AddPeerSends(now time.Time, sends []SentRequest) {
 	byNumber := make(map[uint64]*target, len(b.targets))
 	for _, t := range b.targets {
@@ -45,12 +46,14 @@
 	}
 }
 
-// dropOldPeerSends forgets what no longer counts: of most targets nobody asks for it in between.
+// dropOldPeerSends drops expired entries. Most targets are not queried in between, so they are also
+// dropped on insertion.
 func (t *target) dropOldPeerSends(now time.Time) {
 	t.peerSends = slices.DeleteFunc(t.peerSends, func(s peerSend) bool { return now.Sub(s.at) > peerSendTTL })
 }
 
-// peerSendPrefill is what is left of what peers sent just now, in tokens.
+// peerSendPrefill returns what is left to read of the requests that peers have just sent, in
+// tokens.
 func (t *target) peerSendPrefill(now time.Time) float64 {
 	left, at := 0.0, time.Time{}
 	t.dropOldPeerSends(now)
--- a/route/peer_sends_test.go
+++ b/route/peer_sends_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPeerSends checks that a request of a peer counts at its target from when it is
-// told of, less what the target has read since, and not for longer than until loads
-// that relays tell have it.
+// TestPeerSends checks that a peer's request counts at its target as soon as it is reported, minus
+// what the target has read since, and only until the loads reported over relays include it.
 func TestPeerSends(t *testing.T) {
 	f := newPartsBoard(t, 2)
 	busy, other := f.b.targets[testAddr(0)], f.b.targets[testAddr(1)]
@@ -22,17 +21,17 @@
 	require.Zero(t, busy.queueWait(f.now.Add(peerSendTTL+time.Millisecond)))
 }
 
-// TestHolders checks that a router which asks another who holds the shared parts of
-// a prompt places it as if it had sent the last one itself.
+// TestHolders checks that a router which asks another one for the holders of a prompt's shared
+// parts places the prompt as if it had sent the previous one itself.
 func TestHolders(t *testing.T) {
 	home, f := newFillBoard(t, 4), newFillBoard(t, 4)
-	var told []PlacementReport
-	WithPlaced(func(p PlacementReport) { told = append(told, p) })(home.b)
+	var reports []PlacementReport
+	WithPlaced(func(p PlacementReport) { reports = append(reports, p) })(home.b)
 	first := home.place(home.requestWithAim(time.Second, append(shared, own)...))
 	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
 	number, blocks, ok := f.b.HolderQuery(second)
 	require.True(t, ok)
-	require.Equal(t, told[0].Home, number, "both find the same home")
+	require.Equal(t, reports[0].Home, number, "both find the same home")
 	fills := home.b.Holders(home.now, blocks)
 	require.Len(t, fills, len(shared))
 	f.b.MergeFills(f.now, fills)
@@ -49,7 +48,7 @@
 	require.Empty(t, home.b.Holders(home.now.Add(time.Minute), blocks), "it may be gone by then")
 }
 
-// TestHoldersAsked checks that nobody is asked about a prompt that shares little.
+// TestHoldersAsked checks that no router is asked about a prompt that shares little.
 func TestHoldersAsked(t *testing.T) {
 	f := newPartsBoard(t, 1)
 	cases := map[string][]Part{
--- a/route/peers.go
+++ b/route/peers.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// PeerState is what a router tells its peers; every list is bounded.
+// PeerState is what a router reports to its peers. Every list is bounded.
 type PeerState struct {
-	// Speaks is the number of routers that the state is of; zero stands for one.
+	// Speaks is the number of routers that the state covers; zero stands for one.
 	Speaks int
-	// Counted is how many of them the demands are of.
+	// Counted is how many of them the demands cover.
 	Counted  int
 	Revision int64
 	Leaving  []TargetKey
 	Loads    []Load
 	Demands  []Demand
 	Fills    []Fill
-	// Limits are the limits that targets named.
+	// Limits are the rate limits that targets announced.
 	Limits []LimitUpdate
-	// Silent are targets that gave no sign of life lately.
-	Silent []SilentUpdate
-	// Hot are the parts that prompts are asked about most.
+	// Silent are targets that recently did not respond.
+	Silent []UnresponsiveUpdate
+	// Hot are the most requested prompt parts.
 	Hot []PartRate
-	// Shared are the hashed ids of parts that were seen to be shared lately.
+	// Shared are the hashed ids of parts that were recently found to be shared.
 	Shared []uint64
 	// Kept are the prefixes that this router stored last.
 	Kept []Kept
-	// Holds are the targets that a pool's lease holder is emptying before an order.
+	// Holds are the targets that a pool's lease holder empties before an order.
 	Holds []TargetKey
-	// Loaded are the targets that the lease holder saw with new weights.
+	// Loaded are the targets that the lease holder observed with new weights.
 	Loaded []WeightsUpdate
 	// Rollouts are the roll-outs of pools.
 	Rollouts []RolloutUpdate
@@ -41,20 +41,19 @@
 	Target   TargetKey
 	InFlight int
 	Prefill  int
-	// Tokens is the memory that the requests take of an engine.
+	// Tokens is the memory that the requests occupy at an engine, in tokens.
 	Tokens int
 }
 
-// Demand is what an organisation asks of a router, and what of that was let through, in
-// requests and in tokens per second.
+// Demand is an organisation's demand at a router and the part that was admitted, in requests and in
+// tokens per second.
 type Demand struct {
 	Org        string
 	Rate       float64
 	Used       float64
 	Tokens     float64
 	TokensUsed float64
-	// Level and TokenLevel are the sums of what so many routers know to be left of the
-	// limits, as Levels says.
+	// Level and TokenLevel are the sums of the levels known to Levels routers.
 	Level      float64
 	TokenLevel float64
 	Levels     int
@@ -81,11 +80,11 @@
 	return f
 }
 
-// size orders demands by what is asked.
+// size returns the key by which demands are ordered.
 func (d Demand) size() float64 { return d.Rate + d.Tokens }
 
-// Aged returns the state as it counts when it was told some time ago: what was not said
-// again within [peerUsageMaxAge] is no longer counted for limits.
+// Aged returns the state as it counts after the given age: usage that was not reported again within
+// [peerUsageMaxAge] no longer counts for limits.
 func (s PeerState) Aged(age time.Duration) PeerState {
 	if age > peerUsageMaxAge {
 		s.Demands, s.Counted = nil, 0
@@ -97,18 +96,18 @@
 	return s
 }
 
-// Fill says that a target's cache got a prefix, named by a block at the end of a message.
+// Fill states that a target has cached a prefix, named by a block at the end of a message.
 type Fill struct {
 	Target TargetKey
 	Block  Block
-	// Age is how long ago it was when the message left.
+	// Age is the age of the fill when the message was sent.
 	Age time.Duration
-	// Left is how much longer the target takes to read it, as predicted; zero once it is read.
+	// Left is the predicted time until the target has read the prefix; zero once it is read.
 	Left time.Duration
 	at   time.Time
 }
 
-// The bounds on the lists of a [PeerState].
+// Bounds of the lists of a [PeerState].
 const (
 	maxLoads      = 32
 	maxDemands    = 64
@@ -119,7 +118,7 @@
 
 func (s PeerState) routerCount() int { return max(1, s.Speaks) }
 
-// JoinStates joins the states of several routers into one.
+// JoinStates merges the states of several routers into one.
 func JoinStates(states []PeerState) PeerState {
 	var out PeerState
 	loads := make(map[TargetKey]Load)
@@ -167,7 +166,7 @@
 	out.Limits = slices.Collect(maps.Values(limits))
 	out.Rollouts = slices.Collect(maps.Values(rollouts))
 	for m, n := range silent {
-		out.Silent = append(out.Silent, SilentUpdate{m, n})
+		out.Silent = append(out.Silent, UnresponsiveUpdate{m, n})
 	}
 	for part, rate := range hot {
 		out.Hot = append(out.Hot, PartRate{part, rate})
@@ -176,7 +175,7 @@
 	return out
 }
 
-// State returns what this router tells its peers.
+// State returns what this router reports to its peers.
 func (b *Board) State(now time.Time) PeerState {
 	s := PeerState{Counted: 1, Revision: b.Revision(), Leaving: b.DrainingTargets(), Kept: b.newlyKept, Demands: b.demands(now), Limits: b.limitUpdates(now)}
 	s.Leaving = s.Leaving[:min(len(s.Leaving), maxTargetKeys)]
@@ -185,7 +184,7 @@
 			s.Loads = append(s.Loads, Load{t.key(), len(t.attempts), t.prefill, t.tokens})
 		}
 	}
-	s.Silent = b.silentTargets(now)
+	s.Silent = b.unresponsiveTargets(now)
 	s.Rollouts = b.Rollouts(now)
 	s.Hot = b.hot.report(now)
 	s.Shared = b.shared.recentIDs(now)
@@ -197,7 +196,7 @@
 	return s
 }
 
-// demands returns what organisations ask of this router, the largest first.
+// demands returns the demand of organisations at this router, largest first.
 func (b *Board) demands(now time.Time) []Demand {
 	var out []Demand
 	for name, o := range b.orgs {
@@ -214,7 +213,7 @@
 	return out[:min(len(out), maxDemands)]
 }
 
-// minDemand and minTokenDemand are the rates below which an organisation is not worth telling of.
+// minDemand and minTokenDemand are the rates below which an organisation is not reported.
 const (
 	minDemand      = 0.05
 	minTokenDemand = 10
@@ -226,8 +225,8 @@
 	}
 }
 
-// MergePeers takes the states of the routers heard of lately; routers is how many
-// there are, this one included and those not heard of too.
+// MergePeers merges the latest states of the other routers. routers is the total number of routers,
+// including this one and those without a state.
 func (b *Board) MergePeers(now time.Time, states map[string]PeerState, routers int) []Action {
 	b.routers = max(1, routers, len(states)+1)
 	if b.snap != nil {
@@ -244,7 +243,7 @@
 	b.mergeKept(states)
 	b.hot.merge(states)
 	b.mergeShared(states)
-	b.mergeSilent(now, states)
+	b.mergeUnresponsive(now, states)
 	b.mergeRollouts(now, states)
 	b.expireFills(now)
 	b.mergeOrgDemands(now, states)
@@ -252,18 +251,18 @@
 	return b.dispatch(now)
 }
 
-// prunePeers keeps the last word of a peer that fell silent while it may still
-// run, so that its part of the limits is not given away.
+// prunePeers keeps the last state of a peer from which nothing is received any more, while it may
+// still run, so that its share of the limits is not given away.
 func (b *Board) prunePeers(states map[string]PeerState) {
-	silent := b.routers - 1
+	missing := b.routers - 1
 	for _, s := range states {
-		silent -= s.routerCount()
+		missing -= s.routerCount()
 	}
 	for id, s := range b.peers {
 		if _, live := states[id]; live {
 			continue
 		}
-		if silent -= s.routerCount(); silent < 0 {
+		if missing -= s.routerCount(); missing < 0 {
 			delete(b.peers, id)
 			continue
 		}
--- a/route/regression_detector.go
+++ b/route/regression_detector.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Tally counts answers, and those of them that failed or came several times slower than usual.
+// Tally counts answers, and those that failed or were several times slower than usual.
 type Tally struct{ Answers, Bad int }
 
 func (t Tally) plus(o Tally) Tally  { return Tally{t.Answers + o.Answers, t.Bad + o.Bad} }
@@ -22,18 +22,18 @@
 	return RolloutCounts{c.New.minus(o.New), c.Old.minus(o.Old)}
 }
 
-// regressionDetector compares a new release with the old one by Page's cumulative sum of log
-// likelihood ratios: of the rate of bad answers that the old release has against one that is
-// higher by detectableIncrease. It is never below zero, so that a release that turns bad after
-// thousands of good answers is found as soon as one that was bad from the beginning.
+// regressionDetector compares a new release with the old one by Page's cumulative sum (CUSUM) test.
+// It sums the log likelihood ratios of the old release's rate of bad answers against a rate that is
+// higher by detectableIncrease. The sum never falls below zero, so a release that turns bad after
+// thousands of good answers is detected as fast as one that is bad from the start.
 type regressionDetector struct {
 	score float64
 	last  RolloutCounts
 }
 
-// The judge's test. A release with the old one's rate passes alarmScore by chance about
-// once in e^alarmScore answers. priorBad of priorAnswers keep the old rate off zero while it
-// has few answers, and minAnswers are what a release must have given to be sound.
+// Parameters of the test. A release with the old one's rate exceeds alarmScore by chance about once
+// in e^alarmScore answers. priorBad out of priorAnswers keep the estimated old rate above zero
+// while there are few answers. A release needs minAnswers to pass.
 const (
 	detectableIncrease = 0.1
 	alarmScore         = 14
@@ -45,8 +45,8 @@
 
 func newRegressionDetector() regressionDetector { return regressionDetector{} }
 
-// observe takes the sums of all routers. Where they fell, a router that had counted is not
-// known any more; counting goes on from the lower sums.
+// observe updates the score with the sums of all routers. If a sum fell, a router that contributed
+// to it is no longer known, and counting continues from the lower sum.
 func (j *regressionDetector) observe(c RolloutCounts) {
 	d := c.minus(j.last)
 	j.last = c
@@ -63,24 +63,26 @@
 // regressed reports whether the new release is worse than the old one.
 func (j *regressionDetector) regressed() bool { return j.score >= alarmScore }
 
-// passed reports whether enough is known of the new release, and nothing speaks against it.
+// passed reports whether the new release gave enough answers without evidence against it.
 func (j *regressionDetector) passed() bool {
 	return j.last.New.Answers >= minAnswers && j.score < soundScore
 }
 
-// String tells what the judgement rests on.
+// String describes the evidence.
 func (j *regressionDetector) String() string {
 	return fmt.Sprintf("%d of %d answers of the new release bad, %d of %d of the old, score %.1f of %d",
 		j.last.New.Bad, j.last.New.Answers, j.last.Old.Bad, j.last.Old.Answers, j.score, alarmScore)
 }
 
-// latencyBaseline is how many times the least possible time an answer of the old release takes.
+// latencyBaseline is the mean latency of the old release's answers, as a multiple of the least
+// possible latency.
 type latencyBaseline struct {
 	mean    float64
 	answers int
 }
 
-// An answer is slow from slowFactor times the usual on, once minBaselineAnswers were seen.
+// An answer is slow if it exceeds slowFactor times the baseline, which requires minBaselineAnswers.
+// baselineWeight is the least weight of a new answer in the mean.
 const (
 	slowFactor         = 3
 	minBaselineAnswers = 20
--- a/route/rollout.go
+++ b/route/rollout.go
@@ -8,32 +8,34 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// RolloutOrder asks that the requests of a pool move to its targets of another release.
+// RolloutOrder requests that the traffic of a pool move to its targets of another release.
 type RolloutOrder struct {
 	Pool string
 	// Release is the software release that is to serve.
 	Release string
-	// Revision is the order's position in the store; of two orders of a pool the newer one holds.
+	// Revision is the order's position in the store. The newer of two orders for a pool takes
+	// precedence.
 	Revision int64
-	// Duration is the time in which the roll-out is to end.
+	// Duration is the time within which the roll-out is to end.
 	Duration time.Duration
 }
 
-// RolloutPhase is how far a roll-out is.
+// RolloutPhase is the phase of a roll-out.
 type RolloutPhase int
 
-// The phases of a roll-out, in the order in which one replaces another.
+// The phases of a roll-out. A later one replaces an earlier one.
 const (
-	// RolloutPending waits for the state that is recorded in the store: a new process
-	// must not try a release again that was rolled back.
+	// RolloutPending waits for the phase recorded in the store, because a new process must not try
+	// a release again that was rolled back.
 	RolloutPending RolloutPhase = iota
 	// RolloutTrial gives the new release a bounded share of the requests.
 	RolloutTrial
-	// RolloutMoving gives it all requests, while the old targets end what they run.
+	// RolloutMoving ramps the new release up to all requests, while the old targets complete what
+	// they run.
 	RolloutMoving
-	// RolloutCompleted is the end of a good release: the old targets may be stopped.
+	// RolloutCompleted ends the roll-out of a good release. The old targets may be stopped.
 	RolloutCompleted
-	// RolloutRolledBack is the end of a bad one: it gets nothing any more.
+	// RolloutRolledBack ends the roll-out of a bad release, which gets no more requests.
 	RolloutRolledBack
 )
 
@@ -57,18 +59,19 @@
 // Ended reports whether the roll-out is over.
 func (p RolloutPhase) Ended() bool { return p == RolloutCompleted || p == RolloutRolledBack }
 
-// RolloutUpdate is what routers tell each other of a roll-out.
+// RolloutUpdate is the state of a roll-out as routers report it to each other.
 type RolloutUpdate struct {
 	Order RolloutOrder
 	Phase RolloutPhase
-	// Age is how long ago the order was first seen.
+	// Age is the time since the order was first seen.
 	Age    time.Duration
 	Counts RolloutCounts
-	// Moved is how many routers have nothing under way at old targets and send nothing there.
+	// Moved is the number of routers that have nothing in flight at old targets and send nothing
+	// there.
 	Moved int
 }
 
-// joined joins the updates of several routers on one roll-out.
+// joined merges the updates of several routers about one pool.
 func (u RolloutUpdate) joined(o RolloutUpdate) RolloutUpdate {
 	if u.Order.Pool == "" || o.Order.Revision > u.Order.Revision {
 		return o
@@ -82,15 +85,15 @@
 	return u
 }
 
-// rollout is a pool's newest roll-out on the board.
+// rollout is the state of a pool's newest roll-out.
 type rollout struct {
 	order RolloutOrder
 	phase RolloutPhase
 	begun time.Time
 	// movedAt is when the phase became [RolloutMoving].
 	movedAt time.Time
-	// sent counts what this router sent to the pool since the order, tried what of it went
-	// to the new release before it was found good.
+	// sent counts the requests that this router sent to the pool since the order, exposed those of
+	// them that went to the new release before it was found good.
 	sent, exposed int
 	own, peers    RolloutCounts
 	peersMoved    int
@@ -98,23 +101,23 @@
 	baseline      latencyBaseline
 }
 
-// defaultExposure is the share of a pool's requests that a release on trial may get where
-// the settings state none, and exposurePart how much of the stated share is used for that: the
-// rest is for what the release gets until a fault is known that only its full load shows.
+// defaultExposure is the share of a pool's requests that a release on trial may get if the settings
+// state none. Only exposureFraction of the share is used for the trial; the rest covers what the
+// release gets until a fault is detected that shows only under full load.
 const (
-	defaultExposure = 0.1
-	exposurePart    = 0.5
+	defaultExposure  = 0.1
+	exposureFraction = 0.5
 )
 
-// WithExposure sets the share of a pool's requests that a release on trial may get; zero
-// leaves the default.
+// WithExposure sets the share of a pool's requests that a release on trial may get. Zero selects
+// the default.
 func WithExposure(share float64) Option {
-	return func(b *Board) { b.exposure = cmp.Or(share, defaultExposure) * exposurePart }
+	return func(b *Board) { b.exposure = cmp.Or(share, defaultExposure) * exposureFraction }
 }
 
-// StartRollout takes an order. One that names the release of the pool's last roll-out goes on with
-// that: what was rolled back stays so, also if a store that lost its newest writes gets the same
-// order again.
+// StartRollout starts the roll-out of an order. An order for the release of the pool's last
+// roll-out continues that one. A rolled-back release thus stays rolled back, even if a store that
+// lost its latest writes receives the same order again.
 func (b *Board) StartRollout(now time.Time, o RolloutOrder) {
 	old, ok := b.rollouts[o.Pool]
 	switch {
@@ -125,10 +128,10 @@
 		return
 	}
 	b.rollouts[o.Pool] = &rollout{order: o, begun: now, detector: newRegressionDetector()}
-	b.noteRollout(b.rollouts[o.Pool], "ordered")
+	b.emitRollout(b.rollouts[o.Pool], "ordered")
 }
 
-// SetRollout moves a roll-out to a later phase; an earlier one is ignored.
+// SetRollout advances a roll-out to a later phase; an earlier phase is ignored.
 func (b *Board) SetRollout(now time.Time, o RolloutOrder, phase RolloutPhase, why string) {
 	ro, ok := b.rollouts[o.Pool]
 	if !ok || ro.order.Revision != o.Revision || phase <= ro.phase {
@@ -138,14 +141,14 @@
 	if phase == RolloutMoving {
 		ro.movedAt = now
 	}
-	b.noteRollout(ro, why)
+	b.emitRollout(ro, why)
 }
 
-func (b *Board) noteRollout(ro *rollout, why string) {
+func (b *Board) emitRollout(ro *rollout, why string) {
 	b.emit(event.Event{Code: event.RolloutPhase, Detail: ro.order.Pool + " to release " + ro.order.Release + ", " + ro.phase.String() + ": " + why})
 }
 
-// Rollouts returns what this router knows of roll-outs, its own counts alone, in the order of the pools.
+// Rollouts returns the roll-outs known to this router, with its own counts only, ordered by pool.
 func (b *Board) Rollouts(now time.Time) []RolloutUpdate {
 	out := make([]RolloutUpdate, 0, len(b.rollouts))
 	for _, ro := range b.rollouts {
@@ -159,7 +162,8 @@
 	return out
 }
 
-// hasMoved reports whether this router sends nothing to the old targets any more and has nothing there.
+// hasMoved reports whether this router sends nothing to the old targets any more and has nothing in
+// flight there.
 func (b *Board) hasMoved(now time.Time, ro *rollout) bool {
 	switch ro.phase {
 	case RolloutCompleted:
@@ -176,7 +180,7 @@
 	})
 }
 
-// mergeRollouts takes what other routers know of roll-outs.
+// mergeRollouts merges the roll-out updates of other routers.
 func (b *Board) mergeRollouts(now time.Time, states map[string]PeerState) {
 	joined := make(map[string]RolloutUpdate)
 	for _, s := range states {
@@ -193,64 +197,66 @@
 		if begun := now.Add(-u.Age); begun.Before(ro.begun) {
 			ro.begun = begun
 		}
-		b.SetRollout(now, u.Order, u.Phase, "another router's phase")
+		b.SetRollout(now, u.Order, u.Phase, "phase reported by another router")
 		ro.peers, ro.peersMoved = u.Counts, u.Moved
 		ro.detector.observe(ro.own.plus(ro.peers))
 	}
 }
 
-// The parts of a roll-out's duration: how much of it a release is on trial, over how much its share
-// then rises to all requests, how long at least it has them until it is completed, so that what
-// is wrong with it under its full load shows before, after how much it is completed though some
-// routers were not heard to have moved, and after how much one of which too little is known is
-// rolled back.
+// Fractions of a roll-out's duration. A release is on trial for trialFraction. Its share then ramps
+// up to all requests over rampFraction, and it serves all of them for at least fullLoadFraction
+// before the roll-out completes, so that faults under full load show. After completeFraction the
+// roll-out completes even if some routers have not reported that they moved. After
+// undecidedFraction a release with too few answers is rolled back.
 const (
-	trialPart     = 0.45
-	rampPart      = 0.2
-	fullLoadPart  = 0.12
-	completePart  = 0.9
-	undecidedPart = 0.8
+	trialFraction     = 0.45
+	rampFraction      = 0.2
+	fullLoadFraction  = 0.12
+	completeFraction  = 0.9
+	undecidedFraction = 0.8
 )
 
-// part returns a part of the roll-out's duration.
-func (ro *rollout) part(p float64) time.Duration {
+// durationFraction returns a fraction of the roll-out's duration.
+func (ro *rollout) durationFraction(p float64) time.Duration {
 	return time.Duration(p * float64(ro.order.Duration))
 }
 
-// ramp returns the share of the requests that a release gets which is found good.
+// ramp returns the share of the requests that a release found good currently gets. It may exceed
+// one.
 func (ro *rollout) ramp(now time.Time) float64 {
-	return float64(now.Sub(ro.movedAt)) / float64(ro.part(rampPart))
+	return float64(now.Sub(ro.movedAt)) / float64(ro.durationFraction(rampFraction))
 }
 
-// NextPhase returns the phase that a roll-out is due to enter, which is the present one where
-// nothing is due, and why.
+// NextPhase returns the phase that a roll-out is due to enter, and why. It returns the current
+// phase if none is due.
 func (b *Board) NextPhase(now time.Time, pool string) (o RolloutOrder, next RolloutPhase, why string) {
 	ro, ok := b.rollouts[pool]
 	if !ok {
 		return RolloutOrder{}, RolloutPending, ""
 	}
 	o, next = ro.order, ro.phase
-	age := func(part float64) bool { return now.Sub(ro.begun) >= ro.part(part) }
+	age := func(part float64) bool { return now.Sub(ro.begun) >= ro.durationFraction(part) }
 	switch ro.phase {
 	case RolloutTrial, RolloutMoving:
 		switch {
 		case ro.detector.regressed():
 			return o, RolloutRolledBack, ro.detector.String()
-		case ro.phase == RolloutTrial && age(trialPart) && ro.detector.passed():
+		case ro.phase == RolloutTrial && age(trialFraction) && ro.detector.passed():
 			return o, RolloutMoving, ro.detector.String()
-		case ro.phase == RolloutTrial && age(undecidedPart):
-			return o, RolloutRolledBack, "too little is known of it: " + ro.detector.String()
-		case ro.phase == RolloutMoving && now.Sub(ro.movedAt) >= ro.part(rampPart+fullLoadPart) && b.hasMoved(now, ro) && 1+ro.peersMoved >= b.limitSharers.value:
+		case ro.phase == RolloutTrial && age(undecidedFraction):
+			return o, RolloutRolledBack, "too few answers to decide: " + ro.detector.String()
+		case ro.phase == RolloutMoving && now.Sub(ro.movedAt) >= ro.durationFraction(rampFraction+fullLoadFraction) && b.hasMoved(now, ro) && 1+ro.peersMoved >= b.limitSharers.value:
 			return o, RolloutCompleted, "all routers have moved"
-		case ro.phase == RolloutMoving && age(completePart):
-			return o, RolloutCompleted, "its time is nearly over"
+		case ro.phase == RolloutMoving && age(completeFraction):
+			return o, RolloutCompleted, "its duration is nearly over"
 		}
 	case RolloutPending, RolloutCompleted, RolloutRolledBack:
 	}
 	return o, next, ""
 }
 
-// releaseSide says which targets of a pool under a roll-out a request may go to.
+// releaseSide selects the targets of a pool, by release, to which a request may go during a
+// roll-out.
 type releaseSide int
 
 const (
@@ -261,7 +267,7 @@
 	knownRelease
 )
 
-// releaseSides returns the sides that a request tries, in this order.
+// releaseSides returns the sides that a request tries, in order.
 func (b *Board) releaseSides(now time.Time, p *pool, r *request) []releaseSide {
 	ro, ok := b.rollouts[p.compiled.Name]
 	switch {
@@ -287,7 +293,7 @@
 		return newSide
 	case RolloutPending:
 		if !p.hasUsable(func(t *target) bool { return t.release != ro.order.Release }) {
-			// The old targets are gone, so that the roll-out was completed.
+			// The old targets are gone, so the roll-out was completed.
 			return newSide
 		}
 		return oldSide
@@ -297,8 +303,8 @@
 	panic("route: unknown phase of a roll-out")
 }
 
-// trialSides returns the sides that a request tries while a release is on trial: the new one
-// where its share has room, and never for a second try.
+// trialSides returns the sides that a request tries during a trial: the new release first if its
+// share permits, but never for a retry.
 func (b *Board) trialSides(ro *rollout, r *request) []releaseSide {
 	if !ro.detector.regressed() && len(r.tried) == 0 && float64(ro.exposed+1) <= b.exposure*float64(ro.sent+1) {
 		return exposedSides
@@ -306,7 +312,7 @@
 	return oldSide
 }
 
-// The sides that are tried, shared by all requests.
+// Lists of sides, shared by all requests.
 var (
 	anySide      = []releaseSide{anyRelease}
 	oldSide      = []releaseSide{oldRelease}
@@ -315,11 +321,12 @@
 	knownSide    = []releaseSide{knownRelease}
 )
 
-// releaseSettleTime is how long a release that a pool did not have before gets no requests while
-// another can serve them: the order that it is for may reach routers after the list does.
+// releaseSettleTime is how long a release that is new to a pool gets no requests while another
+// release can serve them. The order for it may reach a router later than the target list.
 const releaseSettleTime = 1500 * time.Millisecond
 
-// trackReleases notes the releases of the pools' targets. Those of a pool's first list are as good as each other.
+// trackReleases records the releases of the pools' targets. All releases in a pool's first list
+// count as known.
 func (b *Board) trackReleases(now time.Time) {
 	for _, p := range b.pools {
 		first := len(p.releases) == 0
@@ -335,12 +342,12 @@
 	}
 }
 
-// hasUsable reports whether the pool has a usable target of some kind.
+// hasUsable reports whether the pool has a usable target that matches.
 func (p *pool) hasUsable(match func(t *target) bool) bool {
 	return slices.ContainsFunc(p.members, func(t *target) bool { return t.usable() && match(t) })
 }
 
-// onSide reports whether a target of the pool is on the side that a request tries.
+// onSide reports whether a target of the pool belongs to a side.
 func (b *Board) onSide(now time.Time, p *pool, side releaseSide, t *target) bool {
 	switch side {
 	case anyRelease:
@@ -350,34 +357,35 @@
 	case oldRelease, newRelease, trialRelease:
 	}
 	ro := b.rollouts[p.compiled.Name]
-	fresh := t.release == ro.order.Release
+	isNew := t.release == ro.order.Release
 	switch side {
 	case newRelease:
-		return fresh
+		return isNew
 	case trialRelease:
-		return fresh && b.onTrial(now, ro, t)
+		return isNew && b.onTrial(now, ro, t)
 	case oldRelease, anyRelease, knownRelease:
 	}
-	return !fresh
+	return !isNew
 }
 
-// trialWidth is how many times the exposed share of the new targets are on trial. With as few
-// targets as the share has requests, each of them is loaded as the old ones are, which a
-// fault that comes with load needs to show; with twice as many none is overloaded.
+// trialWidth is the fraction of the new targets on trial, as a multiple of the exposed share of the
+// requests. With a width of one, each of these targets is loaded like the old ones, which is
+// required to detect faults that appear under load; a width of two ensures that none is overloaded.
 const trialWidth = 2
 
-// onTrial reports whether a target of the new release is among those that are tried, which are
-// the same on all routers and more as the release's share rises; where these are none, all are.
+// onTrial reports whether a target of the new release is among those on trial. The selection is the
+// same on all routers and grows with the release's share. If no selected target is usable, all are
+// on trial.
 func (b *Board) onTrial(now time.Time, ro *rollout, t *target) bool {
-	part := trialWidth * b.exposure
+	fraction := trialWidth * b.exposure
 	if ro.phase == RolloutMoving {
-		part = max(part, ro.ramp(now))
+		fraction = max(fraction, ro.ramp(now))
 	}
-	chosen := func(t *target) bool { return float64(mixHash(t.hash^uint64(ro.order.Revision))>>11)/(1<<53) < part }
-	if chosen(t) {
+	selected := func(t *target) bool { return float64(mixHash(t.hash^uint64(ro.order.Revision))>>11)/(1<<53) < fraction }
+	if selected(t) {
 		return true
 	}
-	return !b.pools[ro.order.Pool].hasUsable(func(o *target) bool { return o.release == ro.order.Release && chosen(o) })
+	return !b.pools[ro.order.Pool].hasUsable(func(o *target) bool { return o.release == ro.order.Release && selected(o) })
 }
 
 // filterSide returns the servers on a request's side.
@@ -394,7 +402,7 @@
 	return out
 }
 
-// countRelease counts a send for the exposure of the release on trial.
+// countRelease counts a send towards the exposure of the release on trial.
 func (b *Board) countRelease(p *pool, t *target) {
 	ro, ok := b.rollouts[p.compiled.Name]
 	if !ok || ro.phase.Ended() {
@@ -406,7 +414,7 @@
 	}
 }
 
-// recordReleaseResult counts the end of an attempt, which failed or not, for or against its target's release.
+// recordReleaseResult counts the result of an attempt for its target's release.
 func (b *Board) recordReleaseResult(now time.Time, r *request, a *attempt, failed bool) {
 	ro, ok := b.rollouts[r.Pool]
 	if !ok || ro.phase.Ended() || a.cancelled || now.Before(a.target.reported.Add(a.target.report.Cold)) {
--- a/route/rollout_test.go
+++ b/route/rollout_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bounds of a roll-out that installations state: the share of a service's requests that a
-// bad release may get and some more, and how soon after its 50th bad answer it gets none.
+// The bounds of a roll-out: the share of a service's requests that a bad release may get, with a
+// tolerance, and how soon after its 50th bad answer it must get none.
 const (
 	exposureShare = 0.1
 	exposureSlack = 50
@@ -21,20 +21,21 @@
 	newRel        = "v2"
 )
 
-// releaseFault is what is wrong with a release, by the time since the order.
+// releaseFault describes a fault of a release by the time since the order.
 type releaseFault struct {
-	// failing is the share of its answers that fail, slow the factor of its times, from a time on.
+	// failing is the share of its answers that fail, slow the factor on its latency, both from a
+	// given time on.
 	failing float64
 	slow    float64
 	from    time.Duration
-	// route is the only one of four routes with the fault, -1 for all.
+	// route is the only one of four routes that has the fault, or -1 for all.
 	route int
-	// load is the number of requests at once from which it shows.
+	// load is the number of concurrent requests from which the fault shows.
 	load int
 }
 
-// rolloutFleet is the routers of a fleet that move a service to another release. They report to
-// each other four times a second, and learn of each other what was so two reports ago.
+// rolloutFleet simulates the routers of a fleet that move a service to another release. They report
+// to each other four times a second, with a delay of two reports.
 type rolloutFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -44,14 +45,14 @@
 	fault   releaseFault
 	// usual is the share of the old release's answers that fail.
 	usual float64
-	// side is the part of the fleet that a router reaches.
+	// side is the network partition that a router is in.
 	side    []int
-	told    lateReports
+	reports lateReports
 	flying  []rolloutAnswer
 	running map[int]int
 	ordered time.Time
 	asked   int
-	// sent are the times at which requests went to each release since the order.
+	// sent are the times of the requests to each release since the order.
 	sent [2][]time.Time
 	// bad are the times of the new release's bad answers, ended the times at which roll-outs ended.
 	bad   []time.Time
@@ -68,7 +69,7 @@
 	bad      bool
 }
 
-// baseTime is how long an answer takes at a sound target.
+// baseTime is the latency of an answer from a healthy target.
 const baseTime = 30 * time.Millisecond
 
 func newRolloutFleet(t *testing.T, n int, seed uint64, fault releaseFault) *rolloutFleet {
@@ -82,10 +83,10 @@
 	return f
 }
 
-// isNew reports whether a target has the new release: the second half of them.
+// isNew reports whether a target has the new release, which is the second half of the targets.
 func (f *rolloutFleet) isNew(target int) bool { return target >= f.targets/2 }
 
-// start starts a router anew; it knows the list, and orders only from others.
+// start restarts a router. It knows the list, and learns of orders only from other routers.
 func (f *rolloutFleet) start(i int) {
 	b := NewBoard(WithSeed(f.rng.Uint64()), WithRouters(len(f.boards)), WithExposure(exposureShare))
 	b.Adopt(f.now, testSetup{window: 400}.snapshot(f.t))
@@ -93,7 +94,7 @@
 	f.list(i)
 }
 
-// list gives a router the list, on which the new targets stand once they are ordered.
+// list passes a router the list, which contains the new targets once they are ordered.
 func (f *rolloutFleet) list(i int) {
 	b := f.boards[i]
 	var seen []ListedTarget
@@ -116,7 +117,8 @@
 	return RolloutOrder{Pool: "s", Release: newRel, Revision: 7, Duration: rolloutTime}
 }
 
-// begin starts the new targets, orders the roll-out at the routers that read the store, and records its beginning.
+// begin starts the new targets, passes the order to the routers that read the store, and records
+// the start of the roll-out.
 func (f *rolloutFleet) begin(readers ...int) {
 	f.ordered = f.now
 	for i := range f.boards {
@@ -128,7 +130,7 @@
 	}
 }
 
-// play lets time pass at a number of requests a second, with one router advancing the roll-out.
+// play advances the time at a rate of requests per second while one router advances the roll-out.
 func (f *rolloutFleet) play(d time.Duration, perSecond float64, holder int) {
 	const step = 10 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
@@ -156,7 +158,7 @@
 	f.take(i, f.boards[i].Arrive(f.now, req))
 }
 
-// take carries out what a router's board asks for.
+// take carries out the actions of a router's board.
 func (f *rolloutFleet) take(router int, actions []Action) {
 	for _, a := range actions {
 		if send, ok := a.(Send); ok {
@@ -218,25 +220,25 @@
 }
 
 func (f *rolloutFleet) report() {
-	if !f.told.add(f.now, f.boards) {
+	if !f.reports.add(f.now, f.boards) {
 		return
 	}
 	for i, b := range f.boards {
 		var others []PeerState
-		for k, s := range f.told[0] {
+		for k, s := range f.reports[0] {
 			if k != i && f.side[k] == f.side[i] {
 				others = append(others, s)
 			}
 		}
-		heard := make(map[string]PeerState)
+		received := make(map[string]PeerState)
 		if len(others) > 0 {
-			heard["others"] = JoinStates(others)
+			received["others"] = JoinStates(others)
 		}
-		b.MergePeers(f.now, heard, len(f.boards))
+		b.MergePeers(f.now, received, len(f.boards))
 	}
 }
 
-// advance does what the process does that advances a roll-out.
+// advance enters the next phase of the roll-out, as the process of the lease holder does.
 func (f *rolloutFleet) advance(holder int) {
 	b := f.boards[holder]
 	o, next, why := b.NextPhase(f.now, "s")
@@ -249,7 +251,7 @@
 	}
 }
 
-// check holds the fleet to the bounds of a bad release.
+// checkBad checks the bounds for a bad release.
 func (f *rolloutFleet) checkBad() {
 	b := f.boards[0]
 	require.Equal(f.t, RolloutRolledBack, f.phase, b.rollouts["s"].detector.String())
@@ -261,19 +263,19 @@
 	}
 }
 
-// A bad release is found by all routers together, whatever is wrong with it, and gets no more
-// than its share of the requests.
+// A bad release is detected by all routers together, whatever its fault is, and gets no more than
+// its share of the requests.
 func TestRolloutBad(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]releaseFault{
-		"fails at once":        {failing: 0.4, route: -1},
-		"fails seldom":         {failing: 0.2, route: -1},
-		"slow":                 {slow: 5, route: -1},
-		"fails later":          {failing: 0.4, from: 4 * time.Second, route: -1},
-		"slow later":           {slow: 5, from: 4 * time.Second, route: -1},
-		"fails on one route":   {failing: 0.8, route: 2},
-		"slow on one route":    {slow: 6, route: 1},
-		"fails under its load": {failing: 0.5, route: -1, load: 3},
+		"fails at once":      {failing: 0.4, route: -1},
+		"fails rarely":       {failing: 0.2, route: -1},
+		"slow":               {slow: 5, route: -1},
+		"fails later":        {failing: 0.4, from: 4 * time.Second, route: -1},
+		"slow later":         {slow: 5, from: 4 * time.Second, route: -1},
+		"fails on one route": {failing: 0.8, route: 2},
+		"slow on one route":  {slow: 6, route: 1},
+		"fails under load":   {failing: 0.5, route: -1, load: 3},
 	} {
 		for _, nodes := range []int{1, 8, 40} {
 			t.Run(fmt.Sprint(name, " at ", nodes), func(t *testing.T) {
@@ -313,7 +315,7 @@
 	}
 }
 
-// Routers that reach nobody keep to the share too, and act on what they see themselves.
+// Routers that reach no others also keep to the share, and act on their own observations.
 func TestRolloutPartition(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 12, 5, releaseFault{failing: 0.5, route: -1})
@@ -327,8 +329,8 @@
 	f.checkBad()
 }
 
-// A router that starts knows no phase: it sends nothing to a release that was rolled back, and
-// serves through the new one where the old targets are gone.
+// A router that starts knows no phase. It sends nothing to a release that was rolled back, and uses
+// the new release if the old targets are gone.
 func TestRolloutPending(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 1, 1, releaseFault{failing: 1, route: -1})
@@ -336,7 +338,7 @@
 	f.list(0)
 	f.boards[0].StartRollout(f.now, f.order())
 	f.play(2*time.Second, 100, 0)
-	require.Empty(t, f.sent[1], "requests to a release whose recorded state is not known")
+	require.Empty(t, f.sent[1], "requests to a release whose recorded phase is unknown")
 	f.boards[0].SetRollout(f.now, f.order(), RolloutRolledBack, "")
 	f.play(2*time.Second, 100, 0)
 	require.Empty(t, f.sent[1])
@@ -361,7 +363,7 @@
 	require.NotEmpty(t, f.sent[1], "requests where the old targets are gone")
 }
 
-// The second try of a request that failed at the new release goes to the old one.
+// The retry of a request that failed at the new release goes to the old one.
 func TestRolloutRetry(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 1, 3, releaseFault{})
@@ -401,7 +403,7 @@
 	require.NotZero(t, again)
 }
 
-// Of a thousand good releases none is rolled back, at any usual rate of bad answers.
+// None of a thousand good releases is rolled back, whatever the usual rate of bad answers.
 func TestRegressionDetectorFalseAlarms(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -431,5 +433,5 @@
 		}
 	}
 	require.Zero(t, alarms, "good releases that were rolled back")
-	require.LessOrEqual(t, unsound, 20, "good releases that were not found sound in time")
+	require.LessOrEqual(t, unsound, 20, "good releases that did not pass in time")
 }
--- a/route/servers.go
+++ b/route/servers.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// server is a target that serves a model, with its weights.
+// server is a target that serves a model, with the weights it has.
 type server struct {
 	target  *target
 	weights string
 }
 
-// serversKey names a model of a pool.
+// serversKey identifies a model, with an adapter, in a pool.
 type serversKey struct {
 	pool           string
 	model, adapter string
 }
 
-// serversList is who serves a model, as of a version of the targets' states.
+// serversList is a cached list of the servers of a model. It is valid for one version of the
+// targets' states.
 type serversList struct {
 	version   uint64
 	all       []server
 	preferred []server
 }
 
-// servers returns the engines that may serve a request, from a list that is made
-// anew only when some target's state changed. A request whose answer began keeps
-// to its weights. While fewer engines than the declared floor have the declared
-// weights, those with others serve too.
+// servers returns the engines that may serve a request, from a list that is rebuilt only when the
+// state of a target changed. A request whose answer has begun is restricted to the same weights.
+// While fewer engines than the declared floor have the declared weights, engines with other weights
+// serve as well.
 func (b *Board) servers(p *pool, r *request) []server {
 	key := serversKey{p.compiled.Name, r.Model.Name, r.Adapter}
 	list, ok := b.serving[key]
@@ -61,8 +62,8 @@
 	return list
 }
 
-// narrow picks the servers of a pool of n that are worth predicting for: the
-// first in rendezvous order, known holders and a random few.
+// narrow selects the candidates among the servers of a pool of n targets: the first in rendezvous
+// order, the known holders of the prompt's blocks, and a few random ones.
 func (b *Board) narrow(cs []candidate, list []server, n int, r *request) []candidate {
 	b.round++
 	c := r.chain(list[0].weights)
@@ -100,7 +101,7 @@
 	return cs
 }
 
-// holdersOf marks, for this round, the holders of the deepest known blocks.
+// holdersOf marks the holders of the deepest known blocks as candidates of the current round.
 func (b *Board) holdersOf(c *chain) {
 	levels := 0
 	for l := b.prefixes.deepest(c); l >= 0 && levels < holdersPerBlock; l-- {
--- a/route/shared.go
+++ b/route/shared.go
@@ -8,53 +8,53 @@
 	"github.com/zeebo/xxh3"
 )
 
-// sharedParts are the parts that prompts share, as far as this router and its
-// peers have seen, with the targets that hold them. In a large fleet a few routers
-// read the targets' events and pass these on; the parts that end a prompt are of
-// no use to any other request, and there are many more of them. A part is known
-// to be shared by its id alone: new weights change what it is kept under.
+// sharedParts tracks the prompt parts that several prompts share, as seen by this router and its
+// peers, and the targets that hold them. In a large fleet only a few routers read the targets'
+// cache events and relay those about shared parts. Parts at the end of a prompt are useless to
+// other requests, and there are many more of them. Whether a part is shared is tracked by id alone,
+// since its cache key changes with the weights.
 type sharedParts struct {
 	ids *generationalMap[partID, sharedPart]
-	// fresh are those that this router saw first itself or tells for another, in the
-	// order in which it did; dropped is how many came before them.
+	// recent are the parts that this router saw first or relays for another router, in order.
+	// dropped is the number of entries removed before them.
 	recent  []recentPart
 	dropped int64
 	feed    *Feed[heldPart, int]
-	// counted are the keys of shared parts that some target was said to hold.
+	// counted are the cache keys of shared parts that a target was reported to hold.
 	counted map[partKey]bool
 }
 
-// recentPart is a part that was seen to be shared at a time.
+// recentPart is a part that was found to be shared at a time.
 type recentPart struct {
 	id partID
 	at time.Time
 }
 
-// partID names a part under whatever salt.
+// partID identifies a part independently of its salt.
 type partID uint64
 
 func hashPartID(id string) partID { return partID(xxh3.HashString(id)) }
 
-// sharedPart is what is known of the parts of one id.
+// sharedPart is what is known of the parts with one id.
 type sharedPart struct {
 	shared bool
-	// keys are those that targets' events named lately.
+	// keys are the cache keys that targets' events named recently.
 	keys []partKey
 }
 
-// heldPart is a part at a target.
+// heldPart is a part held by a target.
 type heldPart struct {
 	target netip.AddrPort
 	key    partKey
 }
 
-// The bounds of what is remembered of parts: how many ids, under how many salts
-// each, and how many of the new shared ones. In a small fleet so many of those are
-// told of for so long, in which all peers hear of them; in a large one, so many with
-// each report, some 5 KB.
+// Bounds of the remembered parts: maxSharedIDs ids, maxKeysPerPart cache keys for each, and
+// maxRecentParts newly shared ids. In a small fleet a state reports up to maxSharedPerState ids for
+// sharedTellTime, long enough for all peers to receive them. In a large fleet each report carries
+// up to maxReported ids, about 5 KB.
 const (
-	sharedKept        = 1 << 14
-	keysKept          = 32
+	maxSharedIDs      = 1 << 14
+	maxKeysPerPart    = 32
 	maxRecentParts    = 1 << 12
 	maxSharedPerState = 64
 	sharedTellTime    = 2 * time.Second
@@ -63,22 +63,23 @@
 
 func newSharedParts() sharedParts {
 	return sharedParts{
-		ids:  newGenerationalMap[partID, sharedPart](sharedKept),
+		ids:  newGenerationalMap[partID, sharedPart](maxSharedIDs),
 		feed: NewFeed[heldPart](func(a, b int) bool { return a == b }),
 
 		counted: make(map[partKey]bool),
 	}
 }
 
-// has reports whether a part was counted as shared.
+// has reports whether a key belongs to a shared part.
 func (s *sharedParts) has(key partKey) bool { return s.counted[key] }
 
-// recordKey notes that an event named a part, and reports whether the part is shared.
+// recordKey records the cache key by which an event named a part, and reports whether the part is
+// shared.
 func (s *sharedParts) recordKey(id string, key partKey) bool {
 	p := s.ids.getOrCreate(hashPartID(id))
 	if !slices.Contains(p.keys, key) {
 		p.keys = append(p.keys, key)
-		p.keys = p.keys[max(0, len(p.keys)-keysKept):]
+		p.keys = p.keys[max(0, len(p.keys)-maxKeysPerPart):]
 	}
 	if p.shared {
 		s.counted[key] = true
@@ -86,7 +87,7 @@
 	return p.shared
 }
 
-// recordHolder tells what a target holds of a shared part.
+// recordHolder publishes how much of a shared part a target holds.
 func (s *sharedParts) recordHolder(t *target, key partKey, tokens int) {
 	if tokens > 0 {
 		s.feed.Set(heldPart{t.addr, key}, tokens)
@@ -95,8 +96,8 @@
 	s.feed.Drop(heldPart{t.addr, key})
 }
 
-// markPartShared notes that parts of an id are shared, and who holds them. It reports
-// whether that is new.
+// markPartShared marks the parts of an id as shared and publishes their holders. It reports whether
+// this is new.
 func (b *Board) markPartShared(id partID) bool {
 	p := b.shared.ids.getOrCreate(id)
 	if p.shared {
@@ -112,7 +113,7 @@
 	return true
 }
 
-// markKeyShared counts a key as that of a shared part, if it is not yet.
+// markKeyShared marks a key as that of a shared part.
 func (b *Board) markKeyShared(key partKey) {
 	if !b.shared.has(key) {
 		b.shared.counted[key] = true
@@ -120,7 +121,7 @@
 	}
 }
 
-// recordSharedParts notes the shared parts of a prompt.
+// recordSharedParts records the parts that a prompt shares.
 func (b *Board) recordSharedParts(now time.Time, r *request) {
 	for _, part := range r.Parts[:max(0, len(r.Parts)-1)] {
 		if id := hashPartID(part.ID); b.markPartShared(id) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// queueForPeers has peers told of a part.
+// queueForPeers queues a part to be reported to peers.
 func (s *sharedParts) queueForPeers(now time.Time, id partID) {
 	s.recent = append(s.recent, recentPart{id, now})
 	if old := len(s.recent) - maxRecentParts; old > 0 {
@@ -138,12 +139,11 @@
 	}
 }
 
-// SharedSince returns the hashed ids of the parts that this router saw to be shared
-// after so many others, and how many there were up to the last of them. A relay that
-// is told each id once takes a few bytes for each in the whole fleet. Told for two
-// seconds by everyone to everyone, as in a small fleet, the ids of 3,200 parts that
-// 195 routers see anew at a common start made answers of 300 KB, four to each router
-// and second.
+// SharedSince returns the hashed ids of shared parts that follow the first after ids, and the
+// position up to which it returned them. A relay that receives each id once needs a few bytes for
+// each in the whole fleet. When every router repeated its ids to every other for two seconds, as in
+// a small fleet, 3,200 parts seen for the first time by 195 routers that started together led to
+// answers of 300 KB, four per second to each router.
 func (b *Board) SharedSince(after int64) (ids []uint64, next int64) {
 	s := &b.shared
 	from := min(max(0, after-s.dropped), int64(len(s.recent)))
@@ -154,8 +154,8 @@
 	return ids, s.dropped + to
 }
 
-// TakeShared takes the ids of parts that another router saw to be shared; onward says
-// that this one is to tell of them in its turn.
+// TakeShared records parts that another router found to be shared. onward is set if this router is
+// to report them in turn.
 func (b *Board) TakeShared(now time.Time, ids []uint64, onward bool) {
 	for _, id := range ids {
 		if b.markPartShared(partID(id)) && onward {
@@ -164,7 +164,7 @@
 	}
 }
 
-// recentIDs returns the hashed ids of the shared parts that peers may not know yet.
+// recentIDs returns the hashed ids of shared parts that peers may not know yet.
 func (s *sharedParts) recentIDs(now time.Time) []uint64 {
 	var out []uint64
 	for _, f := range s.recent[max(0, len(s.recent)-maxSharedPerState):] {
@@ -175,7 +175,7 @@
 	return out
 }
 
-// mergeShared takes the parts that peers saw to be shared.
+// mergeShared records the parts that peers found to be shared.
 func (b *Board) mergeShared(states map[string]PeerState) {
 	for _, s := range states {
 		for _, id := range s.Shared {
@@ -184,25 +184,26 @@
 	}
 }
 
-// PartsUpdate is what changed of the shared parts that targets hold.
+// PartsUpdate contains the changes of which targets hold which shared parts.
 type PartsUpdate struct {
-	// Next is the version to ask for next.
+	// Next is the version from which to request the next update.
 	Next int64
-	// Full says that the news replaces everything told before.
+	// Full is set if the update replaces all previous ones.
 	Full    bool
 	Targets []TargetParts
-	// Unread are targets whose events the teller does not read now.
+	// Unread are targets whose cache events the sender does not currently read.
 	Unread []netip.AddrPort
 }
 
-// TargetParts is what changed at one target: keys of parts, and for each the tokens held now.
+// TargetParts contains the changes at one target: the keys of parts and the number of tokens now
+// held of each.
 type TargetParts struct {
 	Target TargetKey
 	Keys   []uint64
 	Tokens []int
 }
 
-// PartsSince tells what changed after a version of what was told before.
+// PartsSince returns the changes after a version.
 func (b *Board) PartsSince(now time.Time, after int64) PartsUpdate {
 	changes, full := b.shared.feed.Since(after)
 	out := PartsUpdate{Next: b.shared.feed.Version(), Full: full}
@@ -212,16 +213,16 @@
 		if !ok {
 			continue
 		}
-		told := byTarget[t.addr]
-		if told == nil {
-			told = &TargetParts{Target: t.key()}
-			byTarget[t.addr] = told
+		parts := byTarget[t.addr]
+		if parts == nil {
+			parts = &TargetParts{Target: t.key()}
+			byTarget[t.addr] = parts
 		}
-		told.Keys = append(told.Keys, uint64(c.Key.key))
-		told.Tokens = append(told.Tokens, c.Value)
+		parts.Keys = append(parts.Keys, uint64(c.Key.key))
+		parts.Tokens = append(parts.Tokens, c.Value)
 	}
-	for _, told := range byTarget {
-		out.Targets = append(out.Targets, *told)
+	for _, parts := range byTarget {
+		out.Targets = append(out.Targets, *parts)
 	}
 	for _, t := range b.targets {
 		if !t.parts.known(now) && b.readsCacheEvents(t) {
@@ -231,20 +232,20 @@
 	return out
 }
 
-// TakeParts takes the news of another router that reads the targets' events.
-func (b *Board) TakeParts(now time.Time, news PartsUpdate) {
+// TakeParts applies an update from another router, which reads the targets' cache events.
+func (b *Board) TakeParts(now time.Time, update PartsUpdate) {
 	if b.disabled.Has(CacheEvents) {
 		return
 	}
-	unread := make(map[netip.AddrPort]bool, len(news.Unread))
-	for _, addr := range news.Unread {
+	unread := make(map[netip.AddrPort]bool, len(update.Unread))
+	for _, addr := range update.Unread {
 		unread[addr] = true
 	}
 	for addr, t := range b.targets {
 		if !b.readsCacheEvents(t) {
 			continue
 		}
-		if unread[addr] || news.Full {
+		if unread[addr] || update.Full {
 			b.dropParts(t)
 		}
 		if unread[addr] {
@@ -255,18 +256,18 @@
 		}
 		t.parts.at, t.parts.relayed = now, true
 	}
-	for _, told := range news.Targets {
-		t, ok := b.targetByKey(told.Target)
-		if !ok || t.parts.tokens == nil || len(told.Keys) != len(told.Tokens) {
+	for _, parts := range update.Targets {
+		t, ok := b.targetByKey(parts.Target)
+		if !ok || t.parts.tokens == nil || len(parts.Keys) != len(parts.Tokens) {
 			continue
 		}
-		for i, key := range told.Keys {
-			b.applyPart(t, partKey(key), told.Tokens[i])
+		for i, key := range parts.Keys {
+			b.applyPart(t, partKey(key), parts.Tokens[i])
 		}
 	}
 }
 
-// applyFraction notes what another router said that a target holds of a shared part.
+// applyPart records how much of a shared part a target holds, as reported by another router.
 func (b *Board) applyPart(t *target, key partKey, tokens int) {
 	b.markKeyShared(key)
 	b.setPart(t, key, tokens, true)
--- a/route/shared_bucket.go
+++ b/route/shared_bucket.go
@@ -5,191 +5,192 @@
 	"time"
 )
 
-// sharedBucket is an organisation's limit in one unit, requests or tokens, as one router
-// keeps it. All routers that tell each other what they let through keep one account
-// together: each knows the account less what the others used since their last words.
+// sharedBucket is a token bucket for a rate limit that all routers enforce together, in one unit
+// (requests or tokens). Each router keeps its own copy of the common level and deducts the usage
+// that the other routers report.
 //
-// Weighed against it, over a fleet of 90 routers (TestLimitStrategies): equal parts, of
-// which one is smaller than one prompt, and parts by what each router was asked. At 0.56 of
-// a limit of 29,000 tokens a second, with prompts of 3,000 on average, those refuse what
-// the account lets through.
+// Two alternatives were compared on 90 routers, at 0.56 of a limit of 29,000 tokens a second and
+// with prompts of 3,000 tokens on average: equal shares, of which one is smaller than one prompt,
+// and shares by the demand at each router. Both refuse requests that the shared bucket admits.
 type sharedBucket struct {
-	// level is what may be used at once, below zero after more was used than came in.
+	// level is what may be used at once. It is negative after usage above the refill rate.
 	level float64
 	at    time.Time
-	// asked and used are what this router was asked and let through.
+	// asked and used measure the demand at this router and what it admitted.
 	asked, used meter
-	// others is what the other routers told of the same.
+	// others is the sum of the rates that the other routers reported.
 	others usageRate
-	// rate is the least that was granted since others were heard of, joinedAt when it rose then.
+	// rate is the lowest granted rate since the last report of the other routers. joinedAt is when
+	// the granted rate last rose by joinGrowth, that is, when this router joined others.
 	rate     float64
 	joinedAt time.Time
-	// owed is what those that met and know no level owe if a surge shows until startupDebtWindow
-	// after joinedAt.
+	// startupDebt is deducted from the level if demand exceeds the rate within startupDebtWindow
+	// after joinedAt. It is set when routers join and none of them knows the level.
 	startupDebt float64
 }
 
-// usageRate is a use of a limit, in its unit a second.
+// usageRate is the demand for a limit and its use, in the limit's unit per second.
 type usageRate struct {
 	asked, used float64
-	// level is the mean of the levels of those routers that know theirs, if any does.
+	// level is the mean level of the routers that know theirs; known is false if none does.
 	level float64
 	known bool
 }
 
-// grant is what some routers may use of a limit together.
+// grant is the part of a limit that a group of routers may use together.
 type grant struct {
-	// rate is in the limit's unit a second, burst what may be used at once on top of it.
+	// rate is in the limit's unit per second; burst is what may be used at once on top of it.
 	rate, burst float64
-	// whole says that these are all routers: what one of them uses too much of, all
-	// make up for. Alone says that it is this one, which hears of no other.
+	// whole is set if the group consists of all routers, so that overuse by one of them is made up
+	// for by all. alone is set if the group is this router only.
 	whole, alone bool
 }
 
-// The times of an allowance.
+// Time constants and bounds of a sharedBucket.
 const (
-	// demandMeterWindow is the time over which demand is measured; usageMeterWindow that over which use
-	// is, which makes it known later by as much.
+	// demandMeterWindow is the time over which demand is measured, usageMeterWindow the time over
+	// which usage is. Usage becomes known later by the length of its window.
 	demandMeterWindow = 500 * time.Millisecond
 	usageMeterWindow  = 150 * time.Millisecond
-	// propagationDelay is how late a router knows what another let through: two reports of 250 ms
-	// on the way, half of each on average, and usageMeterWindow.
+	// propagationDelay is the delay after which a router knows what another one admitted: two
+	// reports of 250 ms, half of each on average, plus usageMeterWindow.
 	propagationDelay = 750 * time.Millisecond
-	// levelRecoveryTime is how soon a level is brought back to where it belongs while more is asked
-	// than is granted. With 3 s, 390 routers that began again in a surge used 1.13 times what
-	// all may, with 2 s 1.05 (at 300,000 tokens a second).
+	// levelRecoveryTime is the time in which a level returns to zero while demand exceeds the
+	// grant. At 300,000 tokens a second, 390 routers that restarted during a surge used 1.13 times
+	// the limit with 3 s, and 1.05 times with 2 s.
 	levelRecoveryTime = 2 * time.Second
-	// maxDebtBursts bounds how long an allowance makes up for what it used too much, in bursts.
+	// maxDebtBursts bounds how far the level can fall below zero, in bursts.
 	maxDebtBursts = 5
 )
 
 func newSharedBucket(begun time.Time) sharedBucket {
-	// What the last process of the same router used is not known here, so nothing is
-	// there at the start; it fills at the full rate.
-	a := sharedBucket{at: begun, asked: newMeter(demandMeterWindow), used: newMeter(usageMeterWindow)}
-	// What is asked is measured from the start on: taken for low until the meter is full,
-	// routers that began again and again used 1.06 times what all may (TestLimitOverRestarts).
-	a.asked.begun, a.asked.at = begun, begun
-	return a
+	// The usage of the previous process of this router is unknown, so the bucket starts empty and
+	// fills at the full rate.
+	s := sharedBucket{at: begun, asked: newMeter(demandMeterWindow), used: newMeter(usageMeterWindow)}
+	// Demand is measured from the start. If it were taken as low until the meter's window is full,
+	// routers that restart repeatedly would use 1.06 times the limit.
+	s.asked.begun, s.asked.at = begun, begun
+	return s
 }
 
-// refill adds what came in since the last call, less what the others used.
-func (a *sharedBucket) refill(now time.Time, g grant) {
+// refill adds the tokens granted since the last call, minus the usage of the other routers.
+func (s *sharedBucket) refill(now time.Time, g grant) {
 	if g.alone {
-		a.others = usageRate{}
+		s.others = usageRate{}
 	}
-	if d := now.Sub(a.at); d > 0 {
-		a.level += (g.rate - a.others.used) * d.Seconds()
-		a.at = now
+	if d := now.Sub(s.at); d > 0 {
+		s.level += (g.rate - s.others.used) * d.Seconds()
+		s.at = now
 	}
-	if a.rate == 0 || g.rate < a.rate {
-		a.rate = g.rate
+	if s.rate == 0 || g.rate < s.rate {
+		s.rate = g.rate
 	}
-	a.level = max(-maxDebtBursts*g.burst, min(a.level, g.burst))
+	s.level = max(-maxDebtBursts*g.burst, min(s.level, g.burst))
 }
 
-// mergeOthers takes what the other routers told of their use. A router that meets others has the
-// level that they tell. Where none knows it, all may have begun together in the middle of a
-// surge: if more is asked than the rate once they know what is asked, what used the limit before
-// them left a debt. Without it, 390 that were started again in a surge used 1.01 times what
-// all may (TestLimitBoundAgain).
-func (a *sharedBucket) mergeOthers(now time.Time, g grant, told usageRate) {
-	a.refill(now, g)
-	a.others = told
-	if a.rate > 0 && g.rate >= joinGrowth*a.rate {
-		a.startupDebt, a.joinedAt = 0, now
-		if told.known {
-			a.level = told.level
+// mergeOthers sets the rates that the other routers reported. A router that joins others takes over
+// the level that they report. If none of them knows the level, all may have started together in the
+// middle of a surge: if demand exceeds the rate as soon as it is known, the usage before the start
+// is deducted as a debt. Without the debt, 390 routers restarted during a surge used 1.01 times the
+// limit.
+func (s *sharedBucket) mergeOthers(now time.Time, g grant, reported usageRate) {
+	s.refill(now, g)
+	s.others = reported
+	if s.rate > 0 && g.rate >= joinGrowth*s.rate {
+		s.startupDebt, s.joinedAt = 0, now
+		if reported.known {
+			s.level = reported.level
 		} else {
-			a.startupDebt = (g.rate - a.rate) * startupDebtTime.Seconds()
+			s.startupDebt = (g.rate - s.rate) * startupDebtTime.Seconds()
 		}
 	}
-	a.rate = g.rate
-	if a.startupDebt == 0 {
+	s.rate = g.rate
+	if s.startupDebt == 0 {
 		return
 	}
-	if surge := (told.asked+a.asked.rate(now))/g.rate - 1; surge > 0 {
-		a.level -= min(surge, 1) * a.startupDebt
-		a.startupDebt = 0
+	if surge := (reported.asked+s.asked.rate(now))/g.rate - 1; surge > 0 {
+		s.level -= min(surge, 1) * s.startupDebt
+		s.startupDebt = 0
 	}
-	if now.Sub(a.joinedAt) > startupDebtWindow {
-		a.startupDebt = 0
+	if now.Sub(s.joinedAt) > startupDebtWindow {
+		s.startupDebt = 0
 	}
 }
 
-// The bounds of meeting others: joinGrowth is how much more is granted then, at the least.
-// What is owed by those that know no level is so much of the rate; what is asked is known
-// within startupDebtWindow, two reports and demandMeterWindow.
+// joinGrowth is the least growth of the granted rate that counts as joining other routers.
+// startupDebtTime is the debt of routers that know no level, as a time at the additional rate.
+// Demand is known within startupDebtWindow, which covers two reports and demandMeterWindow.
 const (
 	joinGrowth        = 1.5
 	startupDebtTime   = 2 * time.Second
 	startupDebtWindow = time.Second
 )
 
-// levelKnown reports whether the level can be told to others.
-func (a *sharedBucket) levelKnown(now time.Time) bool { return now.Sub(a.joinedAt) > propagationDelay }
+// levelKnown reports whether the level is reliable enough to report to other routers.
+func (s *sharedBucket) levelKnown(now time.Time) bool { return now.Sub(s.joinedAt) > propagationDelay }
 
-// tryTake charges a cost or reports that it can't. Draw is a number from 0 to 1.
+// tryTake charges a cost, or reports false without charging it. sample is a random number in [0, 1).
 //
-// Where what is asked stays below the rate, or the level lasts until all have heard of
-// it, a request goes if the level covers it. Else each goes with the chance with which all
-// together use the rate, and the level goes back to zero over levelRecoveryTime.
-func (a *sharedBucket) tryTake(now time.Time, g grant, cost, draw float64) bool {
-	a.refill(now, g)
-	asked := a.others.asked + a.asked.rate(now)
-	a.asked.add(now, cost)
-	if !a.allows(g, cost, draw, asked) {
+// While demand is below the rate, or the level lasts until all routers know of it, a request is
+// admitted if the level covers its cost. Otherwise it is admitted with the probability at which all
+// routers together use exactly the rate, adjusted so that the level returns to zero within
+// levelRecoveryTime.
+func (s *sharedBucket) tryTake(now time.Time, g grant, cost, sample float64) bool {
+	s.refill(now, g)
+	asked := s.others.asked + s.asked.rate(now)
+	s.asked.add(now, cost)
+	if !s.allows(g, cost, sample, asked) {
 		return false
 	}
-	a.charge(now, cost)
+	s.charge(now, cost)
 	return true
 }
 
-// allows reports whether a cost may be charged beside what else is asked for, in its unit a
-// second, and charges nothing.
-func (a *sharedBucket) allows(g grant, cost, draw, asked float64) bool {
+// allows reports whether a cost may be charged given the other demand, in units per second. It
+// charges nothing.
+func (s *sharedBucket) allows(g grant, cost, sample, asked float64) bool {
 	need := cost
 	if g.whole {
-		// A request larger than the burst is not refused for ever.
+		// Without this cap a request larger than the burst would always be refused.
 		need = min(cost, g.burst)
 	}
 	reserve := max(0, asked-g.rate) * propagationDelay.Seconds()
-	if a.level >= need+reserve {
+	if s.level >= need+reserve {
 		return true
 	}
 	asked += cost / demandMeterWindow.Seconds()
-	return draw < (g.rate+a.level/levelRecoveryTime.Seconds())/asked
+	return sample < (g.rate+s.level/levelRecoveryTime.Seconds())/asked
 }
 
-// charge takes a cost off.
-func (a *sharedBucket) charge(now time.Time, cost float64) {
-	a.level -= cost
-	a.used.add(now, cost)
+// charge deducts a cost from the level.
+func (s *sharedBucket) charge(now time.Time, cost float64) {
+	s.level -= cost
+	s.used.add(now, cost)
 }
 
-// refund takes a charge back that was not used.
-func (a *sharedBucket) refund(now time.Time, cost float64) {
-	a.level += cost
-	a.used.add(now, -cost)
+// refund returns a charge that was not used.
+func (s *sharedBucket) refund(now time.Time, cost float64) {
+	s.level += cost
+	s.used.add(now, -cost)
 }
 
-// wait is how long it takes until the level covers a cost, if nobody uses it meanwhile.
-func (a *sharedBucket) wait(g grant, cost float64) time.Duration {
-	lacks := min(cost, g.burst) - a.level
-	if lacks <= 0 || g.rate <= 0 {
+// wait returns the time until the level covers a cost, if nothing else uses the limit meanwhile.
+func (s *sharedBucket) wait(g grant, cost float64) time.Duration {
+	missing := min(cost, g.burst) - s.level
+	if missing <= 0 || g.rate <= 0 {
 		return 0
 	}
-	return time.Duration(math.Min(lacks/g.rate, maxLimitWait.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(missing/g.rate, maxLimitWait.Seconds()) * float64(time.Second))
 }
 
-// maxLimitWait bounds the time that a caller is told to stay away for a limit's sake.
+// maxLimitWait bounds the Retry-After of a request refused for a limit.
 const maxLimitWait = time.Minute
 
-// flow returns what this router tells the others.
-func (a *sharedBucket) flow(now time.Time) usageRate {
-	f := usageRate{asked: a.asked.rate(now), used: a.used.windowRate(now), known: a.levelKnown(now)}
+// flow returns the rates that this router reports to the others.
+func (s *sharedBucket) flow(now time.Time) usageRate {
+	f := usageRate{asked: s.asked.rate(now), used: s.used.windowRate(now), known: s.levelKnown(now)}
 	if f.known {
-		f.level = a.level
+		f.level = s.level
 	}
 	return f
 }
--- a/route/shared_test.go
+++ b/route/shared_test.go
@@ -8,8 +8,9 @@
 	"github.com/zeebo/xxh3"
 )
 
-// What a router that reads the engines' events tells of shared parts lets another
-// place as if it read them itself; parts that end a prompt are not told.
+// A router that receives the shared parts known to another router, which reads the engines' cache
+// events, places requests as if it read the events itself. Parts at the end of a prompt are not
+// sent.
 func TestPartsRelayed(t *testing.T) {
 	reader, other := newPartsBoard(t, 3), newPartsBoard(t, 3)
 	r := other.request("a", append(shared, own)...)
@@ -19,34 +20,34 @@
 	}
 	reader.reportParts(testAddr(1), salt, append(shared, own)...)
 	other.finish(other.place(r))
-	told := other.b.State(other.now)
-	require.Len(t, told.Shared, len(shared))
-	require.Empty(t, other.b.State(other.now.Add(2*sharedTellTime)).Shared, "all have heard of it")
-
-	news := reader.b.PartsSince(reader.now, 0)
-	require.Empty(t, news.Targets, "nobody said that these are shared")
-	reader.b.MergePeers(reader.now, map[string]PeerState{"other": told}, 2)
-	news = reader.b.PartsSince(reader.now, news.Next)
-	require.Len(t, news.Targets, 1)
-	require.Len(t, news.Targets[0].Keys, len(shared))
+	state := other.b.State(other.now)
+	require.Len(t, state.Shared, len(shared))
+	require.Empty(t, other.b.State(other.now.Add(2*sharedTellTime)).Shared, "all have received it")
+
+	update := reader.b.PartsSince(reader.now, 0)
+	require.Empty(t, update.Targets, "these are not known to be shared")
+	reader.b.MergePeers(reader.now, map[string]PeerState{"other": state}, 2)
+	update = reader.b.PartsSince(reader.now, update.Next)
+	require.Len(t, update.Targets, 1)
+	require.Len(t, update.Targets[0].Keys, len(shared))
 	other.now = other.now.Add(time.Minute)
-	other.b.TakeParts(other.now, news)
+	other.b.TakeParts(other.now, update)
 	a := other.place(other.request("a", append(shared, Part{"own2", 500})...))
 	require.Equal(t, testAddr(1), a.Target, a.Reason)
 	other.finish(a)
 
-	// What the engine drops is told too, and so is an engine that nobody reads any more.
+	// Parts that the engine drops are sent too, as are engines whose events are no longer read.
 	reader.reportParts(testAddr(1), salt, Part{shared[1].ID, 0})
-	news = reader.b.PartsSince(reader.now, news.Next)
-	require.Equal(t, []int{0}, news.Targets[0].Tokens)
-	other.b.TakeParts(other.now, news)
+	update = reader.b.PartsSince(reader.now, update.Next)
+	require.Equal(t, []int{0}, update.Targets[0].Tokens)
+	other.b.TakeParts(other.now, update)
 	require.Equal(t, shared[0].Tokens, other.b.targets[testAddr(1)].parts.leadingTokens(newPartsChain(salt, shared)))
-	news.Unread = append(news.Unread, testAddr(1))
-	other.b.TakeParts(other.now, news)
+	update.Unread = append(update.Unread, testAddr(1))
+	other.b.TakeParts(other.now, update)
 	require.False(t, other.b.targets[testAddr(1)].parts.known(other.now))
 }
 
-// Joined states say what the single ones say together.
+// Merged states contain the same information as the separate ones.
 func TestJoin(t *testing.T) {
 	m := TargetKey{testAddr(1), "x"}
 	joined := JoinStates([]PeerState{
@@ -58,8 +59,8 @@
 	}, joined)
 }
 
-// A part that is asked about far more often than one engine should serve is spread
-// over several, whichever routers its requests come to; the others keep one home.
+// A part requested far more often than one engine should serve is spread over several engines,
+// whichever routers its requests arrive at. Other parts keep one home.
 func TestHotPartSpreads(t *testing.T) {
 	p := newPartsBoard(t, 40)
 	placed := func(last string) map[string]int {
@@ -74,9 +75,9 @@
 	}
 	require.Len(t, placed("calm"), 1)
 	r := p.request("a", shared[0], Part{"hot", 4000}, own)
-	told := newHotParts()
-	require.Positive(t, told.count(p.now, Block(xxh3.HashStringSeed("hot", xxh3.HashString(r.Salt("").String())))))
-	state := PeerState{Hot: told.report(p.now)}
+	peerParts := newHotParts()
+	require.Positive(t, peerParts.count(p.now, Block(xxh3.HashStringSeed("hot", xxh3.HashString(r.Salt("").String())))))
+	state := PeerState{Hot: peerParts.report(p.now)}
 	require.Len(t, state.Hot, 1)
 	state.Hot[0].Rate = 60
 	p.b.MergePeers(p.now, map[string]PeerState{"peer": state}, 2)
@@ -84,8 +85,8 @@
 	require.Len(t, placed("calm2"), 1)
 }
 
-// A prompt with a long part of its own runs where it displaces nothing that is
-// held there alone, and fetches what it shares; a short one runs where that is held.
+// A prompt with a long part of its own runs where it does not displace the only copy of cached
+// parts, and fetches its shared parts. A short one runs where its shared parts are held.
 func TestPartsDisplaced(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	r := p.request("a", append(shared, own)...)
@@ -107,7 +108,7 @@
 	require.Equal(t, testAddr(0), a.Target, a.Reason)
 	p.finish(a)
 
-	// What two engines hold is not missed at one of them.
+	// Parts held by two engines are not missed when one of them loses its copy.
 	p.reportParts(testAddr(1), salt, kept[:3]...)
 	require.Equal(t, 6000, p.b.targets[testAddr(0)].parts.soleTokens)
 	p.reportParts(testAddr(1), salt, Part{"k1", 0})
@@ -122,35 +123,35 @@
 	return out
 }
 
-// A target that several peers found silent gets nothing until it shows a sign of
-// life, unless it answers here; what one peer alone says is its own path's matter.
-func TestSilentByPeers(t *testing.T) {
+// A target that several peers found unresponsive gets nothing until it responds again, unless it
+// answers this router. A report by a single peer is attributed to that peer's own path.
+func TestUnresponsiveByPeers(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	mark := TargetKey{testAddr(0), "0"}
-	told := func(routers int) {
-		p.b.MergePeers(p.now, map[string]PeerState{"others": {Speaks: 9, Silent: []SilentUpdate{{mark, routers}}}}, 10)
+	report := func(routers int) {
+		p.b.MergePeers(p.now, map[string]PeerState{"others": {Speaks: 9, Silent: []UnresponsiveUpdate{{mark, routers}}}}, 10)
 	}
 	usable := func() bool { return p.b.targets[testAddr(0)].usable() }
-	told(1)
+	report(1)
 	require.True(t, usable())
-	told(2)
+	report(2)
 	require.False(t, usable())
 	p.report(0, "1")
-	require.True(t, usable(), "its entry showed a sign of life")
+	require.True(t, usable(), "its entry was updated")
 	p.b.targets[testAddr(0)].answeredAt = p.now
-	told(2)
+	report(2)
 	require.True(t, usable(), "it answered here just now")
 
 	p.now = p.now.Add(time.Minute)
 	p.b.markSilent(p.now, p.b.targets[testAddr(0)])
-	require.Equal(t, []SilentUpdate{{mark, 1}}, p.b.State(p.now).Silent)
+	require.Equal(t, []UnresponsiveUpdate{{mark, 1}}, p.b.State(p.now).Silent)
 	p.b.markSilent(p.now, p.b.targets[testAddr(1)])
-	require.Empty(t, p.b.State(p.now).Silent, "to whom all are silent, that one's path is at fault")
-	require.Empty(t, p.b.State(p.now.Add(2*silentTellTime)).Silent)
+	require.Empty(t, p.b.State(p.now).Silent, "a router to which no target responds is at fault itself")
+	require.Empty(t, p.b.State(p.now.Add(2*unresponsiveReportTime)).Silent)
 }
 
-// A key of a shared part is forgotten once no target holds it, however that came:
-// new weights give every part a new key.
+// A key of a shared part is removed once no target holds it. New weights give every part a new key,
+// so keys would otherwise accumulate.
 func TestSharedKeysForgotten(t *testing.T) {
 	p := newPartsBoard(t, 1)
 	a := p.place(p.request("a", append(shared, own)...))
@@ -160,8 +161,8 @@
 	require.Empty(t, p.b.shared.counted)
 }
 
-// Each id is told a reader once, in runs of a bounded size, whoever saw it; what a
-// relay heard from another relay it does not tell again.
+// Each id is returned once per reader, in batches of a bounded size, whichever router saw it. A
+// relay does not report ids again that it received from another relay.
 func TestSharedSince(t *testing.T) {
 	now := time.Unix(100, 0)
 	own, relay := NewBoard(), NewBoard()
@@ -180,10 +181,10 @@
 	relay.TakeShared(now, first, true)
 	relay.TakeShared(now, first, true)
 	relay.TakeShared(now, rest, false)
-	told, end := relay.SharedSince(0)
-	require.Equal(t, first, told, "once each")
-	told, _ = relay.SharedSince(end)
-	require.Empty(t, told, "what another relay tells is not told again")
+	ids, end := relay.SharedSince(0)
+	require.Equal(t, first, ids, "once each")
+	ids, _ = relay.SharedSince(end)
+	require.Empty(t, ids, "ids from another relay are not relayed again")
 
 	for i := range maxRecentParts {
 		own.shared.queueForPeers(now, partID(seen+i+1))
--- a/route/silent.go
+++ b/route/silent.go
@@ -2,58 +2,60 @@
 
 import "time"
 
-// SilentUpdate says that a target's machine gave some routers no sign of life lately.
-type SilentUpdate struct {
+// UnresponsiveUpdate reports that a target's machine recently did not respond to a number of
+// routers.
+type UnresponsiveUpdate struct {
 	Target  TargetKey
 	Routers int
 }
 
-// The bounds of what routers tell of silent targets: for how long, how many must
-// say so, which part of all targets may be silent at once for a router to trust
-// its own path to them, and how long an answer of a target stands against it.
+// unresponsiveReportTime is how long an unresponsive target is reported to peers, and
+// minUnresponsiveRouters how many routers must report it. A router trusts its own path to the
+// targets only while at most maxUnresponsiveShare of them are unresponsive at once. An answer from
+// a target overrides the reports of peers for answerValidTime.
 const (
-	silentTellTime   = 1500 * time.Millisecond
-	minSilentRouters = 2
-	maxSilentShare   = 0.4
-	answerValidTime  = time.Second
+	unresponsiveReportTime = 1500 * time.Millisecond
+	minUnresponsiveRouters = 2
+	maxUnresponsiveShare   = 0.4
+	answerValidTime        = time.Second
 )
 
-// silentTargets returns the targets that were silent to this router lately. One to
-// which many are silent at once tells of none: its own path is at fault.
-func (b *Board) silentTargets(now time.Time) []SilentUpdate {
-	var out []SilentUpdate
+// unresponsiveTargets returns the targets that recently did not respond to this router. If many are
+// unresponsive at once, the fault is in this router's own path, and it reports none.
+func (b *Board) unresponsiveTargets(now time.Time) []UnresponsiveUpdate {
+	var out []UnresponsiveUpdate
 	listed := 0
 	for _, t := range b.targets {
 		if t.listed {
 			listed++
 		}
-		if !t.silentAt.IsZero() && now.Sub(t.silentAt) < silentTellTime {
-			out = append(out, SilentUpdate{t.key(), 1})
+		if !t.unresponsiveAt.IsZero() && now.Sub(t.unresponsiveAt) < unresponsiveReportTime {
+			out = append(out, UnresponsiveUpdate{t.key(), 1})
 		}
 	}
-	if float64(len(out)) > max(1, maxSilentShare*float64(listed)) {
+	if float64(len(out)) > max(1, maxUnresponsiveShare*float64(listed)) {
 		return nil
 	}
 	return out[:min(len(out), maxTargetKeys)]
 }
 
-// mergeSilent takes the targets out that several peers found silent, unless they
-// answered this router in the meantime: each router that found out for itself
-// would pay with a request.
-func (b *Board) mergeSilent(now time.Time, states map[string]PeerState) {
+// mergeUnresponsive marks targets as failing that several peers found unresponsive, unless they
+// answered this router in the meantime. Otherwise each router would lose a request to find out for
+// itself.
+func (b *Board) mergeUnresponsive(now time.Time, states map[string]PeerState) {
 	if b.disabled.Has(SilentWords) {
 		return
 	}
-	silent := make(map[TargetKey]int)
+	routerCounts := make(map[TargetKey]int)
 	for _, s := range states {
 		for _, w := range s.Silent {
-			silent[w.Target] += w.Routers
+			routerCounts[w.Target] += w.Routers
 		}
 	}
-	for m, routers := range silent {
+	for m, routers := range routerCounts {
 		t, ok := b.targetByKey(m)
-		if ok && routers >= minSilentRouters && now.Sub(t.answeredAt) > answerValidTime {
-			b.markFailing(now, t, "peers had no sign of life of it")
+		if ok && routers >= minUnresponsiveRouters && now.Sub(t.answeredAt) > answerValidTime {
+			b.markFailing(now, t, "it did not respond to several peers")
 		}
 	}
 }
--- a/route/silent_test.go
+++ b/route/silent_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilentReached checks that a target which took a new connection after an old one
-// went silent serves again at once, and that peers are not told that it is silent.
-func TestSilentReached(t *testing.T) {
+// TestUnresponsiveReached checks that a target which accepted a new connection after an old one
+// became unresponsive is used again at once, and that peers are not informed that it is
+// unresponsive.
+func TestUnresponsiveReached(t *testing.T) {
 	f := newPartsBoard(t, 1)
 	a := f.place(f.request("a", own))
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Silent: true})
@@ -22,15 +23,15 @@
 	require.Empty(t, f.b.State(f.now).Silent)
 }
 
-// TestSilentReachedLate checks that a new connection does not bring a target back that
-// peers found silent later.
-func TestSilentReachedLate(t *testing.T) {
+// TestUnresponsiveReachedLate checks that a new connection does not bring back a target that peers
+// found unresponsive later.
+func TestUnresponsiveReachedLate(t *testing.T) {
 	f := newPartsBoard(t, 1)
 	a := f.place(f.request("a", own))
 	f.b.Ended(f.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeBroken, Silent: true})
 	f.now = f.now.Add(time.Millisecond)
 	m := TargetKey{testAddr(0), "0"}
-	f.b.MergePeers(f.now, map[string]PeerState{"p": {Silent: []SilentUpdate{{m, minSilentRouters}}}}, 2)
+	f.b.MergePeers(f.now, map[string]PeerState{"p": {Silent: []UnresponsiveUpdate{{m, minUnresponsiveRouters}}}}, 2)
 	f.b.Reached(f.now, testAddr(0))
 	require.False(t, f.b.targets[testAddr(0)].usable())
 }
