--- a/route/target.go
+++ b/route/target.go
@@ -9,10 +9,10 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// Report is what a target said of itself in answer to a poll.
+// Report is what a target reports about itself when polled.
 type Report struct {
 	Incarnation Incarnation
-	// Weights maps the models it serves to their weights, Adapters to their adapters.
+	// Weights maps the models that the target serves to their weights, Adapters to their adapters.
 	Weights     map[string]string
 	Adapters    map[string][]string
 	Leaving     bool
@@ -21,38 +21,39 @@
 	Waiting     int
 	Slots       int
 	PrefillRate float64
-	// Cold is how much longer the target is slow from its start.
+	// Cold is the remaining time for which the target is slow after its start.
 	Cold time.Duration
 	// InFlight is the number of this router's attempts when the poll was sent.
 	InFlight int
 }
 
-// ListedTarget is one line of the VM list as the board takes it.
+// ListedTarget is an entry of the VM list as passed to the board.
 type ListedTarget struct {
 	Addr    netip.AddrPort
 	Labels  map[string]string
 	Leaving bool
-	// Incarnation is whom the line means, empty where the list does not tell.
+	// Incarnation is the incarnation that the entry refers to, empty if the list does not name one.
 	Incarnation Incarnation
-	// Release is the release of the target's software, empty where the list does not tell.
+	// Release is the release of the target's software, empty if the list does not name one.
 	Release string
 }
 
-// Entry is one entry of a list that also has what the targets report.
+// Entry is an entry of a list that also contains the targets' reports.
 type Entry struct {
 	Seen   ListedTarget
 	Report Report
-	// Revision grows with each sign of life of the target.
+	// Revision increases with each sign of life of the target.
 	Revision int64
 }
 
-// TargetKey says that one incarnation of a target is leaving.
+// TargetKey identifies one incarnation of a target.
 type TargetKey struct {
 	Target      netip.AddrPort
 	Incarnation Incarnation
 }
 
-// The bounds of a target's health and of what it has not said.
+// failuresToFail is the number of consecutive failures after which a target counts as failing. The
+// defaults apply to targets that have not reported a value.
 const (
 	failuresToFail     = 3
 	defaultSlots       = 8
@@ -69,68 +70,70 @@
 	pools   []*pool
 	listed  bool
 	slot    uint32
-	// emptied is when the target was first seen with its present, empty cache.
+	// emptied is when the target was first seen with its present cache, then empty.
 	emptied     time.Time
 	hash        uint64
 	incarnation Incarnation
 	report      Report
 	reported    time.Time
-	// unreported says that the report is an earlier incarnation's. Its weights are the best
-	// guess of what this one has, but no bound of it.
+	// reportOutdated is set if the report is from an earlier incarnation. Its weights are the best
+	// estimate of the current ones, but do not bound them.
 	reportOutdated bool
-	// stranger says that an answer named the incarnation, which has not reported
-	// itself yet: the address may be another pool's by now.
+	// unconfirmed is set if an answer named the incarnation, but it has not reported itself yet.
+	// The address may meanwhile belong to another pool.
 	unconfirmed bool
 	draining    bool
-	// listNames says that the list tells which incarnation it means, listedDraining is its
-	// present word, markedAt when it began to say so.
+	// listNames is set if the list names the incarnation that it refers to. listedDraining is the
+	// list's current draining mark, and markedAt when it was set.
 	listNames      bool
 	listedDraining bool
 	markedAt       time.Time
 	held           bool
 	failures       int
 	failing        bool
-	// suspectedAt is when the target was last taken out for giving no sign of life,
-	// silentAt when this router found that itself, answeredAt when it last got an answer.
-	suspectedAt, silentAt, answeredAt time.Time
-	// sends and misses measure the attempts that ended here and those of them that failed.
+	// suspectedAt is when the target was last marked as failing because it did not respond,
+	// unresponsiveAt when this router observed that itself, and answeredAt when it last received an
+	// answer.
+	suspectedAt, unresponsiveAt, answeredAt time.Time
+	// sends and failedSends measure the attempts that ended here and those of them that failed.
 	sends, failedSends meter
-	// learned is the rate of prefill seen in answers, in tokens per second; zero before the first.
+	// learned is the prefill rate observed in answers, in tokens per second; zero if there is none.
 	learned  float64
 	attempts map[string]*attempt
-	// prefill is the uncached tokens of attempts that have no first token yet.
+	// prefill is the number of uncached tokens of attempts without a first token.
 	prefill int
-	// tokens is what this router's attempts take of the target's memory, peerTokens what others' take.
+	// tokens is the memory that this router's attempts occupy at the target, peerTokens that of
+	// other routers' attempts.
 	tokens, peerTokens int
-	// service is the mean time an attempt holds a slot.
+	// service is the mean time for which an attempt occupies a slot.
 	service time.Duration
 	horizon horizon
 	parts   heldParts
-	// guess is what the target is taken to have beside its report.
+	// assumed overrides the reported weights.
 	assumed assumedWeights
-	// unused are weights of the target of which it was recorded that they are used no more.
+	// unused are the target's weights for which an event has recorded that they are no longer used.
 	unused string
-	// peers is what other routers have in flight here.
+	// peerInFlight is the number of requests that other routers have in flight here.
 	peerInFlight int
-	// backoffUntil is until when it wants no requests of this router.
+	// backoffUntil is the time until which it wants no requests from this router.
 	backoffUntil time.Time
-	// limit is its newest word on the requests that it takes.
+	// limit is the latest rate limit that it announced.
 	limit targetLimit
-	// usedAt is when a request last used the target, or might have.
+	// usedAt is when a request last used the target or considered it.
 	usedAt time.Time
-	// round and candidate are scratch of one placement.
+	// round and candidate are scratch space of one placement.
 	round       uint64
 	candidate   int
 	peerPrefill int
 	peersAt     time.Time
-	// recent are requests that peers told of besides.
+	// peerSends are requests that peers reported individually, in addition to their loads.
 	peerSends []peerSend
-	// saves bounds what this router has engines save to a store, moves what moves over
-	// the store's link, both in tokens.
+	// saves limits what this router has engines save to a store, moves what is transferred over the
+	// store's link, both in tokens.
 	saves, moves bucket
 }
 
-// name is the target as events and operators see it.
+// name returns the target's name for events and operators.
 func (t *target) name() string {
 	if n := t.labels["name"]; n != "" {
 		return n
@@ -138,10 +141,10 @@
 	return t.addr.String()
 }
 
-// key names the target's present incarnation.
+// key identifies the target's current incarnation.
 func (t *target) key() TargetKey { return TargetKey{t.addr, t.incarnation} }
 
-// targetByKey returns the target that has the incarnation which a mark names now.
+// targetByKey returns the target whose current incarnation has the given key.
 func (b *Board) targetByKey(m TargetKey) (t *target, ok bool) {
 	t, ok = b.targets[m.Target]
 	return t, ok && t.incarnation == m.Incarnation
@@ -153,7 +156,7 @@
 		!t.reported.IsZero() && !t.unconfirmed
 }
 
-// serves returns the weights of a model that the target has loaded.
+// serves returns the weights that the target has for a model and adapter.
 func (t *target) serves(model, adapter string) (weights string, ok bool) {
 	weights, ok = t.report.Weights[model]
 	if ok && t.assumed.model == model {
@@ -170,8 +173,8 @@
 	return "", false
 }
 
-// inFlight estimates all routers' requests at the target: what this router and
-// its peers know, and what the last report shows beyond that.
+// inFlight estimates the requests of all routers at the target: those known to this router and its
+// peers, plus those that the last report shows beyond them.
 func (t *target) inFlight() int {
 	known := len(t.attempts) + t.peerInFlight
 	others := t.report.Running + t.report.Waiting - t.report.InFlight - t.peerInFlight
@@ -185,8 +188,8 @@
 	return defaultSlots
 }
 
-// rate is the engine's rate of prefill in tokens per second: what it reports, else
-// what was learned of it, else what was learned of others of its pool.
+// rate returns the engine's prefill rate in tokens per second: the reported rate, else the rate
+// learned for this engine, else the rate learned for its pool.
 func (t *target) rate() float64 {
 	switch {
 	case t.report.PrefillRate > 0:
@@ -202,16 +205,17 @@
 	return defaultPrefillRate
 }
 
-// learnTokens is the least prefill that the rate is learned from: with less, what
-// else an answer takes outweighs it. learnPart is the part of one observation.
+// minLearnTokens is the least prefill from which the rate is learned; with less, the other parts of
+// an answer's latency dominate. prefillRateSmoothing is the weight of one observation.
 const (
-	learnTokens = 1500
-	learnPart   = 0.2
+	minLearnTokens       = 1500
+	prefillRateSmoothing = 0.2
 )
 
-// learnRate takes the time that an answer's prefill took; one with fetched parts says little.
+// learnRate updates the prefill rate from an answer's prefill time. Answers with fetched parts are
+// skipped, since their time says little about the rate.
 func (b *Board) learnRate(t *target, uncached int, took time.Duration, fetched bool) {
-	if uncached < learnTokens || took <= 0 || fetched {
+	if uncached < minLearnTokens || took <= 0 || fetched {
 		return
 	}
 	rate := float64(uncached) / took.Seconds()
@@ -224,15 +228,15 @@
 	}
 }
 
-// smooth moves a learned rate towards one that was seen; the first is taken as it is.
+// smooth moves a learned rate towards an observed one. The first observation is taken as it is.
 func smooth(learned, seen float64) float64 {
 	if learned == 0 {
 		return seen
 	}
-	return learned + learnPart*(seen-learned)
+	return learned + prefillRateSmoothing*(seen-learned)
 }
 
-// SetTargets takes the VM list; targets that are not on it any more get no new work.
+// SetTargets replaces the VM list. Targets that are no longer listed get no new work.
 func (b *Board) SetTargets(now time.Time, list []ListedTarget) []Action {
 	changed := false
 	for _, t := range b.targets {
@@ -283,7 +287,7 @@
 	delete(b.targets, addr)
 }
 
-// renewSlot gives the target a new number, which forgets every belief about it.
+// renewSlot assigns a new slot number to the target, which invalidates all cache entries about it.
 func (b *Board) renewSlot(now time.Time, t *target) {
 	t.emptied = now
 	delete(b.slots, t.slot)
@@ -293,7 +297,7 @@
 	t.horizon = newHorizon(b.baseHorizon())
 }
 
-// Report takes a target's answer to a poll.
+// Report applies a target's answer to a poll.
 func (b *Board) Report(now time.Time, addr netip.AddrPort, r Report) []Action {
 	t, ok := b.targets[addr]
 	if !ok {
@@ -303,14 +307,14 @@
 	return b.dispatch(now)
 }
 
-// applyReport takes what a target reports of itself.
+// applyReport applies a target's report.
 func (b *Board) applyReport(now time.Time, t *target, r Report) {
 	if b.staleness != nil && t.regresses(r) {
 		r.Weights = t.report.Weights
 	}
-	had := t.weights()
+	previous := t.weights()
 	b.identify(now, t, r.Incarnation)
-	b.applyReportedWeights(now, t, r, had)
+	b.applyReportedWeights(now, t, r, previous)
 	if t.reported.IsZero() || t.unconfirmed || !sameAdapters(t.report.Adapters, r.Adapters) {
 		b.version++
 	}
@@ -320,7 +324,7 @@
 	t.unconfirmed = false
 	b.recordRecovery(t)
 	if r.Leaving {
-		b.setDraining(t, "its own word")
+		b.setDraining(t, "its own report")
 	}
 }
 
--- a/route/target_hints.go
+++ b/route/target_hints.go
@@ -7,71 +7,75 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// TargetHints is what an answer says of the target that gave it.
+// TargetHints are what an answer states about the target that gave it.
 type TargetHints struct {
-	// Leaving says that the target leaves.
+	// Draining is set if the target is draining.
 	Draining bool
 	Limit    LimitHint
-	// Rest is for how long the target, which turned a request away, wants none of this router.
+	// Backoff is how long the target, which rejected a request, wants no further requests from this
+	// router.
 	Backoff time.Duration
 }
 
-// LimitHint is an answer's word on how many requests a second its target takes from all
-// routers together. The zero one says that it names no limit.
+// LimitHint is the number of requests per second that a target accepts from all routers together,
+// as stated by an answer. The zero value states no limit.
 type LimitHint struct {
 	Named     bool
 	PerSecond float64
-	// Unread says that the word has no meaning, so that what was known before stands.
+	// Invalid is set if the limit could not be parsed; the known limit then stays in force.
 	Invalid bool
 }
 
-// ApplyHints takes what an answer to a request that was sent at a time says of its target. It is
-// believed of the incarnation that answered, and ends with it.
-func (b *Board) ApplyHints(now time.Time, m TargetKey, sent time.Time, s TargetHints) {
-	if s.Draining {
+// ApplyHints applies the hints in an answer to a request that was sent at the given time. They
+// apply to the incarnation that answered and are discarded with it.
+func (b *Board) ApplyHints(now time.Time, m TargetKey, sent time.Time, hints TargetHints) {
+	if hints.Draining {
 		b.marks[m] = true
 	}
 	if t, ok := b.targets[m.Target]; ok && m.Incarnation.Same(t.incarnation) {
-		if s.Draining {
-			// The target knows it before the list does, which may be away or behind.
+		if hints.Draining {
+			// The target knows this before the list, which may be unavailable or outdated.
 			b.setDraining(t, "its own answer")
 		}
-		b.applyLimitHint(now, t, sent, s.Limit)
-		b.applyBackoff(now, t, s.Backoff)
+		b.applyLimitHint(now, t, sent, hints.Limit)
+		b.applyBackoff(now, t, hints.Backoff)
 	}
 }
 
-// unlistedHints are what an incarnation said of itself that left the list.
+// unlistedHints are the hints of an incarnation that left the list.
 type unlistedHints struct {
 	incarnation  Incarnation
 	limit        targetLimit
 	backoffUntil time.Time
 }
 
-// retainHints keeps a target's words as it leaves the list: an entry also goes while the store is away.
+// retainHints keeps the hints of a target that leaves the list. Entries also expire while the store
+// is unavailable.
 func (b *Board) retainHints(t *target) {
 	if t.limit.seq > 0 || !t.backoffUntil.IsZero() {
 		b.unlisted[t.addr] = unlistedHints{t.incarnation, t.limit, t.backoffUntil}
 	}
 }
 
-// restoreHints gives a target that is listed again what it had said, unless another has its address.
+// restoreHints restores the retained hints of a target that is listed again, unless another
+// incarnation has its address.
 func (b *Board) restoreHints(t *target) {
-	if w, ok := b.unlisted[t.addr]; ok && w.incarnation.Same(t.incarnation) {
-		t.limit, t.backoffUntil = w.limit, w.backoffUntil
+	if hints, ok := b.unlisted[t.addr]; ok && hints.incarnation.Same(t.incarnation) {
+		t.limit, t.backoffUntil = hints.limit, hints.backoffUntil
 	}
 	delete(b.unlisted, t.addr)
 }
 
-// applyBackoff takes a target's word that it wants no requests of this router for a time. A price
-// would not do: where the others of its pool fail, it is soon the cheapest again.
-func (b *Board) applyBackoff(now time.Time, t *target, rest time.Duration) {
-	until := now.Add(rest)
-	if rest <= 0 || !until.After(t.backoffUntil) {
+// applyBackoff applies a target's request to get no requests from this router for a while. A cost
+// would not suffice: if the other targets of the pool fail, the target would soon be the cheapest
+// again.
+func (b *Board) applyBackoff(now time.Time, t *target, backoff time.Duration) {
+	until := now.Add(backoff)
+	if backoff <= 0 || !until.After(t.backoffUntil) {
 		return
 	}
 	if !t.backingOff(now) {
-		b.emit(event.Event{Code: event.TargetRests, Target: t.name(), Detail: "for " + rest.String()})
+		b.emit(event.Event{Code: event.TargetRests, Target: t.name(), Detail: "for " + backoff.String()})
 	}
 	t.backoffUntil = until
 	if until.After(b.backoffUntil) {
@@ -79,10 +83,10 @@
 	}
 }
 
-// backingOff reports whether the target wants no requests of this router now.
+// backingOff reports whether the target wants no requests from this router now.
 func (t *target) backingOff(now time.Time) bool { return now.Before(t.backoffUntil) }
 
-// withoutBackoff returns the servers that do not rest.
+// withoutBackoff returns the servers that are not backing off.
 func (b *Board) withoutBackoff(now time.Time, list []server) []server {
 	if !now.Before(b.backoffUntil) {
 		return list
@@ -96,12 +100,13 @@
 	return out
 }
 
-// backoffRemaining is how long it takes until a target of the pool takes requests again, zero if one does.
+// backoffRemaining returns the time until a target of the pool accepts requests again, or zero if
+// one does so now.
 func (b *Board) backoffRemaining(now time.Time, p *pool) time.Duration {
 	if !now.Before(b.backoffUntil) {
 		return 0
 	}
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, t := range p.members {
 		if !t.usable() {
 			continue
@@ -110,39 +115,41 @@
 		if left <= 0 {
 			return 0
 		}
-		if least == 0 || left < least {
-			least = left
+		if shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
-	return least
+	return shortest
 }
 
-// backoffRefusal refuses a request at once that no target of its pool takes before its time is over.
+// backoffRefusal refuses a request immediately if no target of its pool accepts requests within its
+// queue time.
 func (b *Board) backoffRefusal(now time.Time, p *pool, r *request) *Refusal {
-	over := b.backoffRemaining(now, p)
-	if over <= b.maxQueueTime(r) {
+	remaining := b.backoffRemaining(now, p)
+	if remaining <= b.maxQueueTime(r) {
 		return nil
 	}
 	return &Refusal{
-		Cause: CauseOverload, RetryAfter: max(over, b.minRetryAfter),
-		Detail: fmt.Sprintf("all targets of the pool rest, the first for %s more", over.Round(time.Millisecond)),
+		Cause: CauseOverload, RetryAfter: max(remaining, b.minRetryAfter),
+		Detail: fmt.Sprintf("all targets of the pool rest, the first for %s more", remaining.Round(time.Millisecond)),
 	}
 }
 
-// noTargetReason says why a request found no target, and how many of them keep others out by their own word.
+// noTargetReason describes why a request found no target, including how many targets announced a
+// limit or back off.
 func (p *pool) noTargetReason(now time.Time) string {
-	limits, rest := 0, 0
+	limits, backoffs := 0, 0
 	for _, t := range p.members {
 		switch {
 		case t.backingOff(now):
-			rest++
+			backoffs++
 		case t.limit.named:
 			limits++
 		}
 	}
 	text := "no target had room in time"
-	if limits+rest > 0 {
-		text += fmt.Sprintf("; of %d targets %d name a limit and %d rest", len(p.members), limits, rest)
+	if limits+backoffs > 0 {
+		text += fmt.Sprintf("; of %d targets %d name a limit and %d rest", len(p.members), limits, backoffs)
 	}
 	return text
 }
--- a/route/target_index.go
+++ b/route/target_index.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// TargetIndex is the list of targets as the process keeps it, packed. Of a large pool the board
-// has only those that its requests use: a router of a fleet of a thousand sends a request a
-// second, and what it knows and works out of a target must not cost it for each of ten thousand.
+// TargetIndex is the process's compact list of all targets. The board itself holds only those
+// targets of a large pool that its requests use: a router in a fleet of a thousand sends about one
+// request per second, and must not pay for state and computation on each of ten thousand targets.
 type TargetIndex interface {
-	// Size returns how many targets a large pool has, zero for one that the board has whole.
+	// Size returns the number of targets in a large pool, or zero if the board holds the whole
+	// pool.
 	Size(pool string) int
-	// Best returns up to k targets of a large pool that do not leave, those that rank highest.
+	// Best returns up to k targets of a large pool that are not draining, those with the highest
+	// rank.
 	Best(pool string, k int, rank func(hash uint64) uint64) []*Entry
-	// Get returns the entry at an address, nil if there is none.
+	// Get returns the entry at an address, or nil if there is none.
 	Get(addr netip.AddrPort) *Entry
 }
 
-// WithTargetIndex sets where the board takes targets of large pools from.
+// WithTargetIndex sets the index from which the board loads targets of large pools.
 func WithTargetIndex(r TargetIndex) Option {
 	return func(b *Board) { b.reserve = r }
 }
 
-// noTargetIndex is the reserve of a board that has all targets.
+// noTargetIndex is the index of a board that holds all targets.
 type noTargetIndex struct{}
 
 func (noTargetIndex) Size(string) int                                { return 0 }
 func (noTargetIndex) Best(string, int, func(uint64) uint64) []*Entry { return nil }
 func (noTargetIndex) Get(netip.AddrPort) *Entry                      { return nil }
 
-// HashAddr returns the number of a target by which the ranks of [Reserve.Best] are worked out.
+// HashAddr returns the hash of a target that [TargetIndex.Best] passes to rank.
 func HashAddr(addr netip.AddrPort) uint64 { return hashAddr(addr) }
 
-// The targets of a large pool on the board: at least minLoadedTargets, some of which are drawn at
-// random so that there is always another one; each stays for loadedTargetTTL after its last use, one
-// that fails for failingTargetTTL, after which it is taken anew as any other.
+// Bounds of the loaded targets of a large pool. At least minLoadedTargets are loaded, some of them
+// at random so that an alternative always exists. Each stays for loadedTargetTTL after its last
+// use; a failing one stays for failingTargetTTL, after which it may be loaded again like any other.
 const (
 	minLoadedTargets = 48
 	loadedTargetTTL  = 30 * time.Second
@@ -42,11 +44,11 @@
 	unloadInterval   = time.Second
 )
 
-// size returns how many targets a pool has on the list.
+// size returns the number of targets that the list has for a pool.
 func (b *Board) size(p *pool) int { return max(len(p.members), b.reserve.Size(p.compiled.Name)) }
 
-// loadTargets takes targets of a large pool from the reserve that rank highest for a request, once
-// for each request, and reports whether there were new ones.
+// loadTargets loads the targets of a large pool that rank highest for a request, once per request.
+// It reports whether any were new.
 func (b *Board) loadTargets(now time.Time, p *pool, r *request) bool {
 	n := b.reserve.Size(p.compiled.Name)
 	if n == 0 || r.recruited {
@@ -58,13 +60,13 @@
 		picks = b.reserve.Best(p.compiled.Name, rendezvousTop, func(hash uint64) uint64 { return r.homes.rank(n, hash) })
 	}
 	if more := minLoadedTargets - len(p.members); more > 0 {
-		draw := b.rng.Uint64()
-		picks = append(picks, b.reserve.Best(p.compiled.Name, more, func(hash uint64) uint64 { return mixHash(draw ^ hash) })...)
+		seed := b.rng.Uint64()
+		picks = append(picks, b.reserve.Best(p.compiled.Name, more, func(hash uint64) uint64 { return mixHash(seed ^ hash) })...)
 	}
 	return b.addListed(now, picks)
 }
 
-// loadTarget takes the target of a mark from the reserve.
+// loadTarget returns the target with the given key, loading it from the index if necessary.
 func (b *Board) loadTarget(now time.Time, m TargetKey) (*target, bool) {
 	if t, ok := b.targetByKey(m); ok {
 		t.usedAt = now
@@ -78,15 +80,15 @@
 	return b.targetByKey(m)
 }
 
-// addListed puts listed targets on the board and reports whether some were not there.
+// addListed adds listed targets to the board and reports whether any were new.
 func (b *Board) addListed(now time.Time, entries []*Entry) bool {
-	joined := false
+	added := false
 	for _, e := range entries {
 		if t, ok := b.targets[e.Seen.Addr]; ok {
 			t.usedAt = now
 			continue
 		}
-		joined = true
+		added = true
 		t := b.addTarget(now, e.Seen.Addr)
 		t.usedAt = now
 		t.labels, t.release, t.listed = e.Seen.Labels, e.Seen.Release, true
@@ -96,47 +98,48 @@
 		b.setListDraining(now, t, e.Seen.Leaving)
 		b.applyReport(now, t, e.Report)
 	}
-	if joined {
+	if added {
 		b.assignPools()
 	}
-	return joined
+	return added
 }
 
-// HasTarget reports whether the board has a target.
+// HasTarget reports whether the board holds a target.
 func (b *Board) HasTarget(addr netip.AddrPort) bool {
 	_, ok := b.targets[addr]
 	return ok
 }
 
-// unloadIdle takes the targets of large pools off the board that were not used for a while.
+// unloadIdle removes targets of large pools that have not been used for a while.
 func (b *Board) unloadIdle(now time.Time) {
 	if now.Sub(b.retiredAt) < unloadInterval {
 		return
 	}
 	b.retiredAt = now
-	retired := false
+	removed := false
 	for _, p := range b.pools {
 		if b.reserve.Size(p.compiled.Name) == 0 {
 			continue
 		}
 		for _, t := range p.members {
-			kept := loadedTargetTTL
+			ttl := loadedTargetTTL
 			if t.failing {
-				kept = failingTargetTTL
+				ttl = failingTargetTTL
 			}
-			if len(t.attempts) == 0 && now.Sub(t.usedAt) > kept {
+			if len(t.attempts) == 0 && now.Sub(t.usedAt) > ttl {
 				b.dropTarget(t.addr, t)
-				retired = true
+				removed = true
 			}
 		}
 	}
-	if retired {
+	if removed {
 		b.assignPools()
 	}
 }
 
-// readsCacheEvents reports whether the events of a target's cache are read: those of a pool that the board
-// has whole. Of a large one, the homes of prompts' parts know who was sent them.
+// readsCacheEvents reports whether the cache events of a target are read. They are for pools that
+// the board holds as a whole; in a large pool, the homes of a prompt's parts know who was sent
+// them.
 func (b *Board) readsCacheEvents(t *target) bool {
 	for _, p := range t.pools {
 		if b.reserve.Size(p.compiled.Name) > 0 {
--- a/route/target_limit.go
+++ b/route/target_limit.go
@@ -10,61 +10,62 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// A target may name the requests a second that it takes from all routers together. All of
-// them keep that as one account, by the same rule as organisations' limits: each takes off
-// what the others say that they sent. A router that knows the limit from others alone keeps
-// it too, so that none learns of it by sending.
+// A target may announce the number of requests per second that it accepts from all routers
+// together. The routers enforce it with a shared bucket, as they do for organisations' limits: each
+// one deducts what the others report to have sent. A router that knows the limit only from other
+// routers enforces it too, so that none has to learn of it by sending.
 
-// targetLimit is a target's limit as this router knows it; it ends with the target's incarnation.
+// targetLimit is a target's limit as known to this router. It ends with the target's incarnation.
 type targetLimit struct {
 	named     bool
 	perSecond float64
-	// seq grows with each change that any router saw, so that the newest word is told from
-	// its echoes; at is when this router took it.
+	// seq increases with each change that any router observes, which distinguishes the latest value
+	// from older ones that are still being relayed. at is when this router learned of it.
 	seq uint64
 	at  time.Time
-	// account is what may be sent, counted how many other routers told of it at limitsReportedAt.
-	account sharedBucket
-	counted int
-	toldAt  time.Time
+	// bucket is the shared bucket. reporters other routers reported their usage at reportedAt.
+	bucket     sharedBucket
+	reporters  int
+	reportedAt time.Time
 }
 
-// LimitUpdate is what routers tell each other of a target's limit.
+// LimitUpdate is a target's limit and its usage as routers report them to each other.
 type LimitUpdate struct {
 	Target TargetKey
-	// Seq orders words on one incarnation; of two with the same the lesser limit counts.
+	// Seq orders the updates about an incarnation. Of two with the same Seq, the lower limit
+	// applies.
 	Seq uint64
-	// Named is false for a limit that ended.
+	// Named is false if the limit was removed.
 	Named     bool
 	PerSecond float64
-	// Asked and Used are the requests a second that so many routers wanted to send and sent.
+	// Asked and Used are the requests per second that Routers routers wanted to send and did send.
 	Asked, Used float64
 	Routers     int
-	// Level is the sum of what so many routers know to be left of it, as Levels says.
+	// Level is the sum of the levels known to Levels routers.
 	Level  float64
 	Levels int
 }
 
-// The bounds of targets' limits.
+// Constants of targets' limits.
 const (
-	// limitPart is the part of a limit that is used; the rest is for what is sent before all
-	// have heard of it.
-	limitPart = 0.95
-	// limitBurst is what may be sent at once, as a time of the limit, and leastBurst what may at the
-	// least, in requests.
-	limitBurst = 500 * time.Millisecond
-	leastBurst = 2
-	// leastLimit stands for a limit of nothing, whose end is learned by a rare try alone, in
-	// requests a second.
-	leastLimit = 0.1
-	// endedLimitTellTime is how long others are told that a limit ended.
+	// targetLimitFraction is the part of a limit that is used. The rest covers what is sent before
+	// all routers know of it.
+	targetLimitFraction = 0.95
+	// targetBurstTime is the burst, as a time at the limit; minTargetBurst is its lower bound, in
+	// requests.
+	targetBurstTime = 500 * time.Millisecond
+	minTargetBurst  = 2
+	// minTargetLimit replaces a limit of zero, in requests per second. A rare attempt is the only
+	// way to learn that such a limit has ended.
+	minTargetLimit = 0.1
+	// endedLimitTellTime is how long the end of a limit is reported to others.
 	endedLimitTellTime = 5 * time.Second
-	// maxLimitUpdates bounds the words on limits of a [PeerState].
+	// maxLimitUpdates bounds the limits in a [PeerState].
 	maxLimitUpdates = 64
 )
 
-// applyLimitHint takes an answer's word on the target's limit. One that names none lifts the limit
-// only if its request was sent after the limit was heard of: answers overtake each other.
+// applyLimitHint applies the limit stated by an answer. An answer without a limit removes the known
+// one only if its request was sent after that was learned, because answers can overtake each other.
 func (b *Board) applyLimitHint(now time.Time, t *target, sent time.Time, l LimitHint) {
 	known := &t.limit
 	switch {
@@ -76,90 +77,92 @@
 	}
 }
 
-// setLimit puts the newest word on a target's limit in force.
+// setLimit sets a target's limit.
 func (b *Board) setLimit(now time.Time, t *target, w LimitUpdate, source string) {
 	l := &t.limit
 	if w.Named != l.named || w.PerSecond != l.perSecond {
-		text := "none any more"
+		text := "no limit any more"
 		if w.Named {
-			text = fmt.Sprintf("%g requests a second from all routers", w.PerSecond)
+			text = fmt.Sprintf("%g requests per second from all routers", w.PerSecond)
 		}
-		b.emit(event.Event{Code: event.TargetLimit, Target: t.name(), Detail: text + ", says " + source})
+		b.emit(event.Event{Code: event.TargetLimit, Target: t.name(), Detail: text + ", reported by " + source})
 	}
 	if w.Named && !l.named {
-		l.account = newSharedBucket(now)
+		l.bucket = newSharedBucket(now)
 	}
 	l.named, l.perSecond, l.seq, l.at = w.Named, w.PerSecond, w.Seq, now
 }
 
-// targetLimitGrant is this router's and those routers' part of a target's limit that tell it what they
-// use; the others have an equal part each, since nobody knows what they use.
+// targetLimitGrant returns the part of a target's limit for this router and those that report their
+// usage to it. Each other router is assumed to use an equal share, since its usage is unknown.
 func (b *Board) targetLimitGrant(now time.Time, l *targetLimit) grant {
-	known, all := b.countLimitSharersAt(now, l.counted, l.toldAt)
-	rate := limitPart * max(l.perSecond, leastLimit)
+	known, all := b.countLimitSharersAt(now, l.reporters, l.reportedAt)
+	rate := targetLimitFraction * max(l.perSecond, minTargetLimit)
 	part := float64(known) / float64(all)
-	burst := max(leastBurst, rate*limitBurst.Seconds())
+	burst := max(minTargetBurst, rate*targetBurstTime.Seconds())
 	return grant{rate: rate * part, burst: burst * part, whole: known == all, alone: known == 1}
 }
 
-// withinLimit reports whether a request that is to go to the target may. However often it
-// is looked at, it is counted once and has one draw, so that looking again is no second try.
+// withinLimit reports whether the target's limit admits a request. The request is counted once per
+// target and always uses the same sample, so that repeated checks are not further chances.
 func (b *Board) withinLimit(now time.Time, t *target, r *request) bool {
 	if !t.limit.named {
 		return true
 	}
-	a, g := &t.limit.account, b.targetLimitGrant(now, &t.limit)
-	a.refill(now, g)
+	bucket, g := &t.limit.bucket, b.targetLimitGrant(now, &t.limit)
+	bucket.refill(now, g)
 	if !r.wants[t.addr] {
 		if r.wants == nil {
 			r.wants = make(map[netip.AddrPort]bool)
 		}
 		r.wants[t.addr] = true
-		a.asked.add(now, 1)
+		bucket.asked.add(now, 1)
 	}
-	asked := a.others.asked + max(0, a.asked.rate(now)-1/demandMeterWindow.Seconds())
-	draw := drawFor(r.ID, t)
-	return draw < b.admitProbability(now, &t.limit, g, asked) && a.allows(g, 1, draw, max(asked, b.extrapolatedDemand(now, &t.limit)))
+	asked := bucket.others.asked + max(0, bucket.asked.rate(now)-1/demandMeterWindow.Seconds())
+	sample := sampleFor(r.ID, t)
+	return sample < b.admitProbability(now, &t.limit, g, asked) && bucket.allows(g, 1, sample, max(asked, b.extrapolatedDemand(now, &t.limit)))
 }
 
-// admitProbability is the chance with which a request goes although a load may begin at this moment, at all routers at
-// once. Each of many would take a limit that nobody uses for its own, and what they send until they hear of each
-// other is more than it allows. The more is known to be asked for, the less can come unforeseen; where that is
-// as much as the limit, the chance is one.
+// admitProbability returns the probability with which a request is admitted, considering that
+// demand may begin at all routers at this moment. Each router would consider the limit unused, and
+// together they would exceed it before they learn of each other's usage. The higher the known
+// demand, the less additional demand can appear unexpectedly; once it equals the limit, the
+// probability is one.
 func (b *Board) admitProbability(now time.Time, l *targetLimit, g grant, asked float64) float64 {
-	_, all := b.countLimitSharersAt(now, l.counted, l.toldAt)
-	return l.account.level/float64(all) + asked/g.rate
+	_, all := b.countLimitSharersAt(now, l.reporters, l.reportedAt)
+	return l.bucket.level/float64(all) + asked/g.rate
 }
 
-// extrapolatedDemand is what all routers ask for together if the others are asked what this one was just now.
-// What they were told of each other is older than a load that begins at once: routers that each take a limit for
-// unused use it as often as there are routers. One request alone says nothing of the others.
+// extrapolatedDemand returns the total demand under the assumption that the other routers currently
+// see the same demand as this one. Their reports are too old for demand that starts suddenly: if
+// each router considered the limit unused, it would be used once per router. A single request is no
+// evidence of demand elsewhere.
 func (b *Board) extrapolatedDemand(now time.Time, l *targetLimit) float64 {
-	_, all := b.countLimitSharersAt(now, l.counted, l.toldAt)
-	return float64(all) * max(0, l.account.asked.windowRate(now)-1/demandMeterWindow.Seconds())
+	_, all := b.countLimitSharersAt(now, l.reporters, l.reportedAt)
+	return float64(all) * max(0, l.bucket.asked.windowRate(now)-1/demandMeterWindow.Seconds())
 }
 
-// drawFor is a number from 0 to 1 that a request and a target always have together.
-func drawFor(request string, t *target) float64 {
+// sampleFor returns a number in [0, 1) that is fixed for a request and a target.
+func sampleFor(request string, t *target) float64 {
 	return float64(mixHash(xxh3.HashString(request)^t.hash)>>11) / (1 << 53)
 }
 
-// chargeLimit takes an attempt off its target's limit.
+// chargeLimit charges an attempt to its target's limit.
 func (a *attempt) chargeLimit(now time.Time) {
 	if l := &a.target.limit; l.named {
 		a.limited = true
-		l.account.charge(now, 1)
+		l.bucket.charge(now, 1)
 	}
 }
 
-// giveBackLimit gives back what an attempt was charged that did not reach its target.
+// giveBackLimit refunds the charge of an attempt that did not reach its target.
 func (a *attempt) giveBackLimit(now time.Time) {
 	if a.limited && a.target.limit.named {
-		a.target.limit.account.refund(now, 1)
+		a.target.limit.bucket.refund(now, 1)
 	}
 }
 
-// limitUpdates returns what this router tells of targets' limits.
+// limitUpdates returns the targets' limits as reported to other routers.
 func (b *Board) limitUpdates(now time.Time) []LimitUpdate {
 	var out []LimitUpdate
 	for _, t := range b.targets {
@@ -169,7 +172,7 @@
 		}
 		w := LimitUpdate{Target: t.key(), Seq: l.seq, Named: l.named, PerSecond: l.perSecond}
 		if l.named {
-			f := l.account.flow(now)
+			f := l.bucket.flow(now)
 			w.Asked, w.Used, w.Routers = f.asked, f.used, 1
 			if f.known {
 				w.Level, w.Levels = f.level, 1
@@ -180,7 +183,7 @@
 	return out
 }
 
-// joined is a word of more routers on the same target.
+// joined merges an update from further routers about the same target.
 func (w LimitUpdate) joined(o LimitUpdate) LimitUpdate {
 	if o.newer(w) {
 		w.Target, w.Seq, w.Named, w.PerSecond = o.Target, o.Seq, o.Named, o.PerSecond
@@ -193,7 +196,7 @@
 	return w
 }
 
-// newer reports whether the word replaces another.
+// newer reports whether the update supersedes another.
 func (w LimitUpdate) newer(o LimitUpdate) bool {
 	switch {
 	case w.Seq != o.Seq:
@@ -204,30 +207,30 @@
 	return w.Named && w.PerSecond < o.PerSecond
 }
 
-// withoutUsage is the word as it counts once it is old: the limit, and nobody's use.
+// withoutUsage returns the update without its usage, which is how it counts once it is old.
 func (w LimitUpdate) withoutUsage() LimitUpdate {
 	return LimitUpdate{Target: w.Target, Seq: w.Seq, Named: w.Named, PerSecond: w.PerSecond}
 }
 
-// mergeLimits takes what the other routers told of targets' limits and of their use.
+// mergeLimits merges the limits and usage that the other routers reported.
 func (b *Board) mergeLimits(now time.Time, states map[string]PeerState) {
-	told := make(map[netip.AddrPort]LimitUpdate)
+	reported := make(map[netip.AddrPort]LimitUpdate)
 	for _, s := range states {
 		for _, w := range s.Limits {
 			if t, ok := b.targets[w.Target.Target]; ok && w.Target.Incarnation.Same(t.incarnation) {
-				told[t.addr] = told[t.addr].joined(w)
+				reported[t.addr] = reported[t.addr].joined(w)
 			}
 		}
 	}
 	for _, t := range b.targets {
-		l, w := &t.limit, told[t.addr]
+		l, w := &t.limit, reported[t.addr]
 		if own := (LimitUpdate{Seq: l.seq, Named: l.named, PerSecond: l.perSecond}); w.newer(own) {
 			b.setLimit(now, t, w, "a peer")
 		}
 		if !l.named {
 			continue
 		}
-		l.counted, l.toldAt = w.Routers, now
-		l.account.mergeOthers(now, b.targetLimitGrant(now, l), usageRateOf(w.Asked, w.Used, w.Level, w.Levels))
+		l.reporters, l.reportedAt = w.Routers, now
+		l.bucket.mergeOthers(now, b.targetLimitGrant(now, l), usageRateOf(w.Asked, w.Used, w.Level, w.Levels))
 	}
 }
--- a/route/target_limit_fleet_test.go
+++ b/route/target_limit_fleet_test.go
@@ -10,46 +10,48 @@
 	"pgregory.net/rapid"
 )
 
-// The bound on what a target that names a limit gets: in each such window so many times what the
-// limit allows, and some more.
+// The bound on the requests to a target that announces a limit: in each window, a multiple of what
+// the limit allows plus a constant.
 const (
 	targetLimitWindow  = 4 * time.Second
 	targetLimitOverage = 1.5
-	namedMore          = 5
+	targetLimitSlack   = 5
 )
 
 func targetLimitBound(limit float64) float64 {
-	return targetLimitOverage*limit*targetLimitWindow.Seconds() + namedMore
+	return targetLimitOverage*limit*targetLimitWindow.Seconds() + targetLimitSlack
 }
 
-// targetLimitFleet is the routers of one fleet before some targets of a service, of which the first
-// names a limit. They report four times a second and hear of the others what these said two
-// reports before, as over relays.
+// targetLimitFleet is the routers of one fleet and the targets of a service, of which the first
+// announces a limit. Routers report four times a second, and receive the reports of two rounds ago,
+// as over relays.
 type targetLimitFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     time.Time
 	targets int
-	// limit is what the first target names, nil for none.
+	// limit is the limit that the first target announces, or nil.
 	limit *float64
-	// limitSetAt is when it began to.
+	// limitSetAt is when it was set.
 	limitSetAt time.Time
 	boards     []*Board
-	// side is the part of the fleet that a router reaches; frozen ones neither serve nor report.
+	// side is the network partition that a router is in. frozen routers neither serve nor report.
 	side   []int
 	frozen map[int]bool
-	// opts are those of the routers, single says that the first router alone uses the first target.
-	opts   []Option
-	single bool
-	told   lateReports
-	asks   int
-	// sent are the times at which requests came to the first target, knowing those from routers that knew its limit.
-	sent, knowing []time.Time
-	// late are answers that are yet to come.
-	late []lateAnswer
+	// opts are the options of the routers. single is set if only the first router uses the first
+	// target.
+	opts    []Option
+	single  bool
+	reports lateReports
+	asks    int
+	// sent are the times of the requests to the first target, informed those from routers that knew
+	// its limit.
+	sent, informed []time.Time
+	// pending are answers that have not arrived yet.
+	pending []lateAnswer
 }
 
-// lateAnswer is an answer under way.
+// lateAnswer is an answer in flight.
 type lateAnswer struct {
 	at, sent time.Time
 	router   int
@@ -57,7 +59,7 @@
 	said     TargetHints
 }
 
-// answerTime is how long a request takes at a target.
+// answerTime is the time that a target takes for a request.
 const answerTime = 50 * time.Millisecond
 
 func newTargetLimitFleet(t *testing.T, n, targets int, seed uint64, changes ...func(f *targetLimitFleet)) *targetLimitFleet {
@@ -75,7 +77,7 @@
 	return f
 }
 
-// start starts a router anew.
+// start restarts a router.
 func (f *targetLimitFleet) start(i int) {
 	b := NewBoard(append([]Option{WithSeed(f.rng.Uint64()), WithRouters(min(3, len(f.boards))), WithPartialPeerList()}, f.opts...)...)
 	b.Adopt(f.now, testSetup{}.snapshot(f.t))
@@ -93,16 +95,16 @@
 	f.boards[i] = b
 }
 
-// setLimit has the first target name a limit from now on.
+// setLimit sets the limit that the first target announces from now on.
 func (f *targetLimitFleet) setLimit(limit float64) { f.limit, f.limitSetAt = &limit, f.now }
 
-// report lets all routers hear of each other.
+// report delivers the reports of all routers.
 func (f *targetLimitFleet) report() {
-	if !f.told.add(f.now, f.boards) {
+	if !f.reports.add(f.now, f.boards) {
 		return
 	}
 	bySide := make(map[int][]PeerState)
-	for i, s := range f.told[0] {
+	for i, s := range f.reports[0] {
 		if !f.frozen[i] {
 			bySide[f.side[i]] = append(bySide[f.side[i]], s)
 		}
@@ -117,7 +119,7 @@
 		}
 		sum := sums[f.side[i]]
 		if f.single {
-			// One that alone uses the target shares its limit with nobody.
+			// A router that alone uses the target shares the limit with no other.
 			sum.Speaks = 1
 		}
 		if sum.Speaks < 2 {
@@ -128,11 +130,11 @@
 			b.MergePeers(f.now, nil, routers)
 			continue
 		}
-		b.MergePeers(f.now, map[string]PeerState{"others": withoutOwn(sum, f.told[0][i])}, len(f.boards))
+		b.MergePeers(f.now, map[string]PeerState{"others": withoutOwn(sum, f.reports[0][i])}, len(f.boards))
 	}
 }
 
-// withoutOwn is a joined state less what one router told.
+// withoutOwn returns a merged state without the part of one router.
 func withoutOwn(sum, own PeerState) PeerState {
 	out := PeerState{Speaks: sum.Speaks - 1, Counted: sum.Counted - 1}
 	for _, w := range sum.Limits {
@@ -147,7 +149,7 @@
 	return out
 }
 
-// play has so many requests a second come to the routers for a time.
+// play submits requests to the routers at a rate for a duration.
 func (f *targetLimitFleet) play(d time.Duration, perSecond float64) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(fleetStep) {
 		if f.now.Sub(epoch)%fleetReport == 0 {
@@ -162,14 +164,14 @@
 	}
 }
 
-// ask sends a request to a router, and on to the target that it chooses.
+// ask submits a request to a router, which sends it to a target.
 func (f *targetLimitFleet) ask(i int) {
 	f.asks++
 	req := Request{ID: fmt.Sprint(f.asks), Revision: 1, Pool: "s", Deadline: f.now.Add(4 * time.Second), QueueTime: time.Second}
 	f.take(i, f.boards[i].Arrive(f.now, req))
 }
 
-// take plays a router's sends.
+// take carries out a router's sends.
 func (f *targetLimitFleet) take(i int, actions []Action) {
 	for _, a := range actions {
 		send, ok := a.(Send)
@@ -180,31 +182,32 @@
 		if send.Attempt.Target == testAddr(0) {
 			f.sent = append(f.sent, f.now)
 			if f.boards[i].targets[testAddr(0)].limit.named {
-				f.knowing = append(f.knowing, f.now)
+				f.informed = append(f.informed, f.now)
 			}
 			if f.limit != nil {
 				late.said.Limit = LimitHint{Named: true, PerSecond: *f.limit}
 			}
 		}
-		f.late = append(f.late, late)
+		f.pending = append(f.pending, late)
 	}
 }
 
-// answer plays the answers that come now.
+// answer delivers the answers that are due.
 func (f *targetLimitFleet) answer() {
-	for len(f.late) > 0 && !f.late[0].at.After(f.now) {
-		l := f.late[0]
-		f.late = f.late[1:]
+	for len(f.pending) > 0 && !f.pending[0].at.After(f.now) {
+		l := f.pending[0]
+		f.pending = f.pending[1:]
 		b := f.boards[l.router]
 		b.ApplyHints(f.now, TargetKey{l.attempt.Target, "i"}, l.sent, l.said)
 		f.take(l.router, b.Ended(f.now, Outcome{Request: l.attempt.Request, Attempt: l.attempt.ID, Kind: OutcomeDone}))
 	}
 }
 
-// maxSent returns the most requests that came to the first target in one window that begins from a time on.
+// maxSent returns the largest number of requests to the first target in one window that begins at
+// from or later.
 func (f *targetLimitFleet) maxSent(from time.Time) int { return maxInWindow(f.sent, from) }
 
-// maxInWindow returns the most times in one window that begins from a time on.
+// maxInWindow returns the largest number of times in one window that begins at from or later.
 func maxInWindow(times []time.Time, from time.Time) int {
 	most, first := 0, 0
 	for i, at := range times {
@@ -220,7 +223,7 @@
 	return most
 }
 
-// since returns how many came from a time on.
+// since returns the number of requests at from or later.
 func (f *targetLimitFleet) since(from time.Time) int {
 	n := 0
 	for _, at := range f.sent {
@@ -231,24 +234,25 @@
 	return n
 }
 
-// told is how long after its first word a target's limit is held against what it gets.
-const toldTime = 500 * time.Millisecond
+// limitKnownDelay is the time after a target's first announcement from which its limit is enforced
+// on the requests it gets.
+const limitKnownDelay = 500 * time.Millisecond
 
-// targetLimitScenarios are histories of a fleet in which a target gets more than the limit that it names, and
-// the limit that holds at their end.
+// targetLimitScenarios are scenarios with more demand for a target than its limit allows. Each
+// returns the limit in force at its end.
 func targetLimitScenarios() map[string]func(f *targetLimitFleet, limit, perSecond float64) {
 	return map[string]func(f *targetLimitFleet, limit, perSecond float64){
-		"named under load": func(f *targetLimitFleet, limit, perSecond float64) {
+		"announced under load": func(f *targetLimitFleet, limit, perSecond float64) {
 			f.play(4*time.Second, perSecond)
 			f.setLimit(limit)
 			f.play(20*time.Second, perSecond)
 		},
-		"load comes after a rest": func(f *targetLimitFleet, limit, perSecond float64) {
+		"load after an idle time": func(f *targetLimitFleet, limit, perSecond float64) {
 			f.setLimit(limit)
 			f.play(10*time.Second, 2)
 			f.play(15*time.Second, perSecond)
 		},
-		"a third start again": func(f *targetLimitFleet, limit, perSecond float64) {
+		"a third restart": func(f *targetLimitFleet, limit, perSecond float64) {
 			f.setLimit(limit)
 			f.play(8*time.Second, perSecond)
 			for i := 0; i < len(f.boards); i += 3 {
@@ -256,7 +260,7 @@
 			}
 			f.play(10*time.Second, perSecond)
 		},
-		"one after the other starts again": func(f *targetLimitFleet, limit, perSecond float64) {
+		"one after the other restarts": func(f *targetLimitFleet, limit, perSecond float64) {
 			f.setLimit(limit)
 			f.play(5*time.Second, perSecond)
 			for i := range min(20, len(f.boards)) {
@@ -275,8 +279,8 @@
 	}
 }
 
-// testTargetLimits are the limits that fleets are played with, in requests a second; the largest fleet
-// with one, for the time that it takes.
+// testTargetLimits returns the limits to test, in requests per second. The largest fleet is tested
+// with one limit, to bound the duration of the test.
 func testTargetLimits(routers int) []float64 {
 	if routers > 100 {
 		return []float64{2}
@@ -284,8 +288,9 @@
 	return []float64{0.5, 2, 10}
 }
 
-// A target that names a limit gets no more than it allows in any window, over all routers together
-// and however few requests a second that is for each, and nearly as much where more is asked.
+// A target that announces a limit never gets more than the limit allows in any window over all
+// routers together, however few requests per second that is for each router, and nearly as much if
+// the demand exceeds it.
 func TestTargetLimitBound(t *testing.T) {
 	for name, play := range targetLimitScenarios() {
 		for _, n := range []int{1, 8, 90, 390} {
@@ -295,7 +300,7 @@
 					f := newTargetLimitFleet(t, n, 4, 1)
 					// Each of the four targets would get three times the limit.
 					play(f, limit, 4*3*limit)
-					most := f.maxSent(f.limitSetAt.Add(toldTime))
+					most := f.maxSent(f.limitSetAt.Add(limitKnownDelay))
 					used := float64(f.since(f.now.Add(-8*time.Second))) / (8 * limit)
 					t.Logf("%d in one window, allowed %.0f; %.2f of the limit used at the end", most, targetLimitBound(limit), used)
 					require.LessOrEqual(t, float64(most), targetLimitBound(limit))
@@ -305,8 +310,8 @@
 	}
 }
 
-// surge has a load of 15 times the limit come at once to a target that names it, as all know, after a rest in
-// which nobody asked for anything.
+// surge starts a load of 15 times the limit at once, after a time without demand, at a target whose
+// limit all routers know.
 func surge(t *testing.T, routers int, limit float64) {
 	f := newTargetLimitFleet(t, routers, 4, 1)
 	f.setLimit(limit)
@@ -314,12 +319,13 @@
 	f.play(10*time.Second, 0)
 	f.play(3*time.Second, 4*15*limit)
 	f.play(5*time.Second, 4*3*limit)
-	most := f.maxSent(f.limitSetAt.Add(toldTime))
+	most := f.maxSent(f.limitSetAt.Add(limitKnownDelay))
 	t.Logf("%d in one window, allowed %.0f", most, targetLimitBound(limit))
 	require.LessOrEqual(t, float64(most), targetLimitBound(limit))
 }
 
-// Routers that cannot know yet what the others are asked do not each take a limit for unused, however many they are.
+// Routers that cannot yet know the demand at the others must not each treat the limit as unused,
+// however many routers there are.
 func TestTargetLimitSurge(t *testing.T) {
 	for _, n := range []int{1, 4, 8, 12, 90, 390} {
 		for _, limit := range testTargetLimits(n) {
@@ -328,10 +334,11 @@
 	}
 }
 
-// usedRequests is how many requests a limit allows in the time over which its use is measured.
+// usedRequests is the number of requests that a limit allows in the time over which its usage is
+// measured.
 const usedRequests = 80
 
-// What a target takes under its limit is used to four fifths at the least, while more is asked.
+// At least four fifths of a target's limit are used while the demand exceeds it.
 func TestTargetLimitUsed(t *testing.T) {
 	for _, n := range []int{1, 8, 90, 390} {
 		for _, limit := range testTargetLimits(n) {
@@ -350,8 +357,8 @@
 	}
 }
 
-// A limit that is raised, lowered or ended is known to all routers once one of them was told, and
-// an answer to a request from before the limit was heard of does not end it.
+// A raised, lowered or removed limit is known to all routers once one of them received it. An
+// answer to a request that was sent before the limit became known does not remove it.
 func TestTargetLimitChanges(t *testing.T) {
 	f := newTargetLimitFleet(t, 8, 4, 3)
 	knows := func(limit float64) {
@@ -377,10 +384,10 @@
 	knows(0)
 	begun := f.now
 	f.play(8*time.Second, 40)
-	require.Greater(t, f.since(begun), 60, "requests once the limit has ended, in place of some 30")
+	require.Greater(t, f.since(begun), 60, "requests once the limit has ended, instead of about 30")
 }
 
-// A limit ends with the incarnation that named it.
+// A limit ends with the incarnation that announced it.
 func TestTargetLimitEndsWithIncarnation(t *testing.T) {
 	f := newTargetLimitFleet(t, 1, 4, 4)
 	b := f.boards[0]
@@ -389,11 +396,12 @@
 	b.Report(f.now, testAddr(0), Report{Incarnation: "next", Slots: 64})
 	require.False(t, b.targets[testAddr(0)].limit.named)
 	b.MergePeers(f.now, map[string]PeerState{"p": {Limits: []LimitUpdate{{Target: TargetKey{testAddr(0), "i"}, Seq: 9, Named: true, PerSecond: 2}}}}, 2)
-	require.False(t, b.targets[testAddr(0)].limit.named, "what others told of the one before says nothing of this one")
+	require.False(t, b.targets[testAddr(0)].limit.named, "what others reported about the previous incarnation does not apply")
 }
 
-// Where a pool's only target is at its limit, requests wait for it and are looked at again and again: none
-// has a second try by that, and the limit is used as if each were looked at once.
+// If the only target of a pool is at its limit, requests wait for it and are checked repeatedly.
+// The repeated checks give none of them a further chance, and the usage is the same as with a
+// single check.
 func TestTargetLimitAlone(t *testing.T) {
 	for _, limit := range []float64{2, 10} {
 		f := newTargetLimitFleet(t, 3, 1, 5)
@@ -406,15 +414,15 @@
 			}
 		}
 		used := float64(f.since(begun)) / (f.now.Sub(begun).Seconds() * limit)
-		t.Logf("%.2f of the limit used, %d in one window, allowed %.0f", used, f.maxSent(begun.Add(toldTime)), targetLimitBound(limit))
+		t.Logf("%.2f of the limit used, %d in one window, allowed %.0f", used, f.maxSent(begun.Add(limitKnownDelay)), targetLimitBound(limit))
 		require.GreaterOrEqual(t, used, 0.8)
-		require.LessOrEqual(t, float64(f.maxSent(begun.Add(toldTime))), targetLimitBound(limit))
+		require.LessOrEqual(t, float64(f.maxSent(begun.Add(limitKnownDelay))), targetLimitBound(limit))
 	}
 }
 
-// A limit is kept over any history of a fleet: routers that start anew, are cut off, freeze and wake, singly and
-// many at once, under any load. One that was started anew and has not heard of the limit yet cannot keep it; what
-// it sends meanwhile is not counted.
+// A limit is enforced in any sequence of restarts, partitions and freezes of routers, singly or
+// many at once, under any load. A restarted router that has not received the limit yet cannot
+// enforce it; what it sends until then does not count.
 func TestTargetLimitFuzz(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "routers")
@@ -448,32 +456,33 @@
 			load := rapid.Float64Range(0, 8).Draw(rt, "load")
 			f.play(time.Duration(rapid.IntRange(100, 4000).Draw(rt, "ms"))*time.Millisecond, 3*load*limit)
 		}
-		if most := maxInWindow(f.knowing, f.limitSetAt); float64(most) > targetLimitBound(limit) {
+		if most := maxInWindow(f.informed, f.limitSetAt); float64(most) > targetLimitBound(limit) {
 			rt.Fatalf("%d in one window, allowed %.1f", most, targetLimitBound(limit))
 		}
 	})
 }
 
-// The ways that were weighed, on the same history: how much of the limit is used, and the most in one window.
-// Equal parts use a small limit too, by chance, but what one router is not asked for no other takes; one
-// router for each target uses no more than what comes to it.
+// Compares strategies on the same scenario: the share of the limit that is used, and the largest
+// number of requests in one window. With equal shares even a small limit gets used, by chance, but
+// no router can use what another leaves unused. With one router per target only the demand at that
+// router is used.
 func TestTargetLimitStrategies(t *testing.T) {
-	ways := map[string]func(f *targetLimitFleet){
-		"one account": func(*targetLimitFleet) {},
-		"equal parts": func(f *targetLimitFleet) { f.opts = []Option{WithoutMechanisms(LimitAccount)} },
-		"one router":  func(f *targetLimitFleet) { f.single = true },
+	strategies := map[string]func(f *targetLimitFleet){
+		"shared bucket": func(*targetLimitFleet) {},
+		"equal shares":  func(f *targetLimitFleet) { f.opts = []Option{WithoutMechanisms(LimitAccount)} },
+		"one router":    func(f *targetLimitFleet) { f.single = true },
 	}
-	for name, way := range ways {
+	for name, strategy := range strategies {
 		for _, n := range []int{6, 90} {
 			for _, limit := range []float64{2, 10} {
-				f := newTargetLimitFleet(t, n, 4, 7, way)
+				f := newTargetLimitFleet(t, n, 4, 7, strategy)
 				f.setLimit(limit)
 				f.play(5*time.Second, 12*limit)
 				begun, play := f.now, time.Duration(usedRequests/limit*float64(time.Second))
 				f.play(play, 12*limit)
 				used := float64(f.since(begun)) / usedRequests
 				t.Logf("%s, %d routers, limit %g: %.2f used, %d of %.0f in one window", name, n, limit, used, f.maxSent(begun), targetLimitBound(limit))
-				if name == "one account" {
+				if name == "shared bucket" {
 					require.GreaterOrEqual(t, used, 0.8)
 				}
 			}
--- a/route/target_restart_test.go
+++ b/route/target_restart_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restartedBoard returns the board of a process that was started anew in a world, with
-// nothing of what the last one knew but the configuration.
+// restartedBoard returns the board of a restarted process in a world. It retains nothing of its
+// predecessor but the configuration.
 func restartedBoard(t *testing.T, w *world, opts ...Option) *Board {
 	b := NewBoard(append([]Option{WithSeed(2)}, opts...)...)
 	b.Adopt(w.now, w.snap)
@@ -16,25 +16,25 @@
 	return b
 }
 
-// listedTargets returns the list as it names targets of the plain pool.
-func listedTargets(leaving bool, targets ...*fakeTarget) []ListedTarget {
+// listedTargets returns the list entries for targets of the plain pool.
+func listedTargets(draining bool, targets ...*fakeTarget) []ListedTarget {
 	var out []ListedTarget
 	for _, f := range targets {
-		out = append(out, ListedTarget{Addr: f.addr, Labels: map[string]string{"s": "s"}, Leaving: leaving})
+		out = append(out, ListedTarget{Addr: f.addr, Labels: map[string]string{"s": "s"}, Leaving: draining})
 	}
 	return out
 }
 
-// A target that leaves gets no work from a process that was started after that was
-// said, whoever tells it first: the list, the target's own entry or a peer's mark,
-// and also where the list says ready again or the entry was gone in between.
+// A draining target gets no work from a process that started after the mark was set, whichever
+// source reports it first: the list, the target's own entry or a peer. This holds even if the list
+// later says ready, or if the entry was gone in between.
 func TestLeavingOverRestart(t *testing.T) {
 	w := newWorld(t, 0, 1, testSetup{})
 	f := w.targets[0]
 	mark := TargetKey{f.addr, Incarnation(f.id())}
 	ready, leaving := f.report(), f.report()
 	leaving.Leaving = true
-	told := map[string]PeerState{"p": {Leaving: []TargetKey{mark}}}
+	fromPeer := map[string]PeerState{"p": {Leaving: []TargetKey{mark}}}
 	cases := map[string]func(b *Board){
 		"the list": func(b *Board) {
 			b.SetTargets(w.now, listedTargets(true, f))
@@ -44,13 +44,13 @@
 			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, leaving)
 		},
-		"the list, which says ready again": func(b *Board) {
+		"the list, which then reports ready again": func(b *Board) {
 			b.SetTargets(w.now, listedTargets(true, f))
 			b.Report(w.now, f.addr, leaving)
 			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
 		},
-		"its entry, which goes and comes back as ready": func(b *Board) {
+		"its entry, which disappears and returns as ready": func(b *Board) {
 			b.SetTargets(w.now, listedTargets(true, f))
 			b.Report(w.now, f.addr, leaving)
 			b.SetTargets(w.now, nil)
@@ -58,19 +58,19 @@
 			b.Report(w.now, f.addr, ready)
 		},
 		"a peer, before the list": func(b *Board) {
-			b.MergePeers(w.now, told, 2)
+			b.MergePeers(w.now, fromPeer, 2)
 			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
 		},
 		"a peer, after an old list": func(b *Board) {
 			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
-			b.MergePeers(w.now, told, 2)
+			b.MergePeers(w.now, fromPeer, 2)
 		},
 		"a peer, between two old lists": func(b *Board) {
 			b.SetTargets(w.now, listedTargets(false, f))
 			b.Report(w.now, f.addr, ready)
-			b.MergePeers(w.now, told, 2)
+			b.MergePeers(w.now, fromPeer, 2)
 			b.MergePeers(w.now, nil, 1)
 			b.SetTargets(w.now, nil)
 			b.SetTargets(w.now, listedTargets(false, f))
@@ -82,7 +82,7 @@
 			b := restartedBoard(t, w)
 			tell(b)
 			require.False(t, b.targets[f.addr].usable())
-			require.Contains(t, b.DrainingTargets(), mark, "the process tells others too")
+			require.Contains(t, b.DrainingTargets(), mark, "the process also informs others")
 		})
 	}
 	t.Run("the entry is gone", func(t *testing.T) {
@@ -92,17 +92,16 @@
 	})
 	t.Run("the next incarnation is not marked", func(t *testing.T) {
 		b := restartedBoard(t, w)
-		b.MergePeers(w.now, told, 2)
+		b.MergePeers(w.now, fromPeer, 2)
 		b.SetTargets(w.now, listedTargets(false, f))
 		b.Report(w.now, f.addr, Report{Incarnation: "next"})
 		require.True(t, b.targets[f.addr].usable())
 	})
 }
 
-// A process that was started anew has forgotten that a stranger answered at an
-// address. It sends there under the incarnation of the list's entry alone, so that a
-// stranger refuses and is then kept out as before; a peer's word that names another
-// incarnation changes nothing.
+// A restarted process no longer knows that another target answered at an address. It sends there
+// only under the incarnation in the list entry, so that the other target refuses and is excluded as
+// before. A peer that names another incarnation changes nothing.
 func TestUnconfirmedAfterRestart(t *testing.T) {
 	w := newWorld(t, 0, 1, testSetup{trust: true})
 	f := w.targets[0]
@@ -123,8 +122,8 @@
 	b.Ended(w.now, Outcome{Request: "r1", Attempt: a.ID, Kind: OutcomeRefused, Incarnation: "stranger"})
 	require.False(t, b.targets[f.addr].usable())
 	b.MergePeers(w.now, map[string]PeerState{"p": {Loaded: []WeightsUpdate{{Target: TargetKey{f.addr, Incarnation(f.id())}, Model: "m", Weights: "w2"}}}}, 2)
-	require.Empty(t, send("r2"), "the stranger gets no work")
-	// The old entry is read once more: what is sent then still names the old incarnation.
+	require.Empty(t, send("r2"), "the other target gets no work")
+	// The old entry is read once more, so the next attempt still names the old incarnation.
 	out = b.Report(w.now, f.addr, f.report())
 	require.NotEmpty(t, out)
 	for _, action := range out {
--- a/route/verdict.go
+++ b/route/verdict.go
@@ -1,17 +1,17 @@
 package route
 
-// Verdict says whether a request may have run at a target.
+// Verdict states whether a request may have run at a target.
 type Verdict int
 
-// The verdicts. NotRun is given only if no byte of the request reached a target,
-// or each target it reached is trusted by the configuration and refused before running.
+// The verdicts. NotRun requires that no byte of the request reached a target, or that each target
+// it reached is trusted by the configuration and refused it before running it.
 const (
 	NotRun Verdict = iota
 	MayHaveRun
 	Ran
 )
 
-// String returns the verdict as callers see it.
+// String returns the verdict as reported to callers.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
--- a/route/weights.go
+++ b/route/weights.go
@@ -8,26 +8,27 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// Staleness says how a model's numbered weights are told apart by age.
+// Staleness configures how a model's numbered weights are used depending on their age.
 //
-// Numbered weights only rise within an incarnation, so that an older word about
-// a target never undoes a newer one.
+// Within an incarnation, weights only move to higher numbers, so an older report about a target
+// never overrides a newer one.
 type Staleness struct {
-	// Grace is how long after newer weights are named older ones are as good.
+	// Grace is the time after newer weights are named during which older ones count as equally
+	// good.
 	Grace time.Duration
-	// Price is what older weights cost after that, in time to first token.
+	// Price is the cost of older weights after Grace, in time to first token.
 	Price time.Duration
-	// Limit is how long after newer weights are named nothing is sent to older ones. It
-	// counts from the earliest moment at which they may have been named.
+	// Limit is the time after newer weights are named after which nothing is sent to older ones. It
+	// counts from the earliest time at which they may have been named.
 	Limit time.Duration
-	// BeginLimit is how long after that a request may still begin on older ones: one that
-	// was sent and waits at its target until then is withdrawn. Zero withdraws none.
+	// BeginLimit is the time after newer weights are named during which requests may begin on older
+	// ones. A request that still waits at its target by then is withdrawn. Zero disables this.
 	BeginLimit time.Duration
-	// UnknownUntil is until when a process that has just started uses weights of which
-	// nobody can tell when they were replaced.
+	// UnknownUntil is the time until which a newly started process uses weights whose time of
+	// replacement is unknown.
 	UnknownUntil time.Time
-	// GuessTime is how long the weights that a target was taken to have because of a
-	// refusal go before those that it reports itself.
+	// GuessTime is how long weights assumed because of a refusal take precedence over those that
+	// the target reports.
 	GuessTime time.Duration
 }
 
@@ -36,12 +37,12 @@
 	return func(b *Board) { b.staleness = &s }
 }
 
-// maxNewestSpans bounds the spans remembered for a model; weights that came before the
-// oldest of them are too old to be used in any case.
+// maxNewestSpans bounds the spans remembered for a model. Weights older than these are too old to
+// be used anyway.
 const maxNewestSpans = 8
 
-// AddNewestSpan takes the news that weights were the newest of a model for a span of time, and
-// reports whether they are newer than those known before.
+// AddNewestSpan records that weights were the newest of a model during a span of time, and reports
+// whether they are newer than all known before.
 func (b *Board) AddNewestSpan(now time.Time, s NewestSpan) (newer bool) {
 	list, newer := b.named[s.Model].join(s)
 	if b.staleness != nil {
@@ -54,7 +55,7 @@
 	return newer
 }
 
-// NewestWeights returns the newest weights of a model that the board was told of.
+// NewestWeights returns the newest known weights of a model.
 func (b *Board) NewestWeights(model string) string {
 	list := b.named[model]
 	if len(list) == 0 {
@@ -63,7 +64,7 @@
 	return list[len(list)-1].Weights
 }
 
-// NewestSpans returns what the board knows of the newest weights of all models, now and before.
+// NewestSpans returns the known spans of all models.
 func (b *Board) NewestSpans() []NewestSpan {
 	var out []NewestSpan
 	for _, list := range b.named {
@@ -72,7 +73,7 @@
 	return out
 }
 
-// weightsUse says how weights are used by their age.
+// weightsUse states how weights are used because of their age.
 type weightsUse int
 
 const (
@@ -98,8 +99,8 @@
 	return useFreely
 }
 
-// tooOldToBegin reports whether weights of a model are too old for a request to begin on at a
-// later time.
+// tooOldToBegin reports whether weights of a model are too old for a request to begin on them at
+// the given time.
 func (b *Board) tooOldToBegin(begin time.Time, model, weights string) bool {
 	if b.staleness == nil {
 		return false
@@ -108,9 +109,9 @@
 	return replaced && !begin.Before(b.staleness.until(after, by, b.staleness.BeginLimit))
 }
 
-// until returns when a limit is over for weights that were replaced between two moments,
-// of which the earlier is zero if it is not known. It counts from the earlier, is not
-// over before UnknownUntil, and is over for certain once it is counted from the later.
+// until returns the time at which a limit ends for weights that were replaced between after and by;
+// after is zero if unknown. The limit counts from after but does not end before UnknownUntil.
+// Counted from by, it has ended in any case.
 func (s Staleness) until(after, by time.Time, limit time.Duration) time.Time {
 	until := s.UnknownUntil
 	if t := after.Add(limit); !after.IsZero() && t.After(until) {
@@ -122,9 +123,9 @@
 	return until
 }
 
-// withdrawOutdated ends the attempts that wait at a target for so long that they would
-// begin there on weights that are too old. That an answer which is no stream has begun is
-// not seen, so that those are left alone.
+// withdrawOutdated cancels attempts that have waited at a target until its weights became too old
+// to begin on. Only streams are affected, because it cannot be observed whether any other answer
+// has begun.
 func (b *Board) withdrawOutdated(now time.Time, t *target) []Action {
 	if b.staleness == nil {
 		return nil
@@ -138,29 +139,29 @@
 		a.cancelled, a.withdrawn = true, true
 		out = append(out, Cancel{Request: a.Request, Attempt: a.ID})
 		b.emit(event.Event{Code: event.AttemptWithdrawn, Request: a.Request, Attempt: a.ID, Target: t.name(), Detail: fmt.Sprintf(
-			"it waited %s there, and weights %s have become too old", now.Sub(a.sent).Round(time.Millisecond), a.Weights)})
+			"it waited %s at the target, and weights %s have become too old to begin on", now.Sub(a.sent).Round(time.Millisecond), a.Weights)})
 	}
 	return out
 }
 
-// noteUnused records once for each target and weights that these are used no more.
+// noteUnused logs an event, once per target and weights, that the weights are no longer used.
 func (b *Board) noteUnused(now time.Time, t *target, model, weights string) {
 	if t.unused == weights {
 		return
 	}
 	t.unused = weights
 	after, by, _ := b.named[model].replacedBetween(weights)
-	most := "an unknown time"
+	maxAge := "an unknown time"
 	if !after.IsZero() {
-		most = now.Sub(after).Round(time.Millisecond).String()
+		maxAge = now.Sub(after).Round(time.Millisecond).String()
 	}
 	b.emit(event.Event{Code: event.TargetOutdated, Target: t.name(), Detail: fmt.Sprintf(
-		"%s %s: newer ones, by now %s, were named from %s to %s ago as far as is known here",
-		model, weights, b.NewestWeights(model), now.Sub(by).Round(time.Millisecond), most)})
+		"%s %s: replaced between %s and %s ago, as far as known; the newest are %s",
+		model, weights, now.Sub(by).Round(time.Millisecond), maxAge, b.NewestWeights(model))})
 }
 
-// OldestInUse returns how long ago at least the oldest weights that targets in use have
-// were replaced, as far as is known; zero where all have the newest.
+// OldestInUse returns the least time since the oldest weights on usable targets were replaced, or
+// zero if all targets have the newest.
 func (b *Board) OldestInUse(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, t := range b.targets {
@@ -176,13 +177,14 @@
 	return oldest
 }
 
-// newestShare is how many times their part of a pool's requests the engines with the
-// newest weights get, while the others are changed. Loads are told late: without a
-// bound, all routers would send everything to the first few that have them.
+// newestShare bounds the share of a pool's requests that engines with the newest weights get while
+// the others are being updated, as a multiple of their proportional share. Loads are reported with
+// a delay; without a bound, all routers would send everything to the first few engines with new
+// weights.
 const newestShare = 2
 
-// prefersNewest reports whether a request prefers the engines with the newest
-// weights, as many as these can take beside their part of the others.
+// prefersNewest reports whether a request prefers the engines with the newest weights. As many
+// requests do as these engines can serve in addition to their share of the others.
 func (b *Board) prefersNewest(r *request, list []server) bool {
 	if b.staleness == nil || len(list) <= maxFullScan {
 		return true
@@ -197,10 +199,10 @@
 	return r.sample < newestShare*float64(have)/float64(len(list))
 }
 
-// assumedWeights is what a target was taken to have because it refused a request for
-// having other weights than expected. It may be wrong: the target may have been brought
-// to weights between those expected and the newest. So it yields to what the target
-// reports, and the work of bringing targets to the newest weights takes no account of it.
+// assumedWeights are the weights that a target is assumed to have because it refused a request over
+// a weights mismatch. They may be wrong, since the target may have been updated to weights between
+// the expected and the newest ones. They therefore yield to the target's own reports, and the
+// process that updates targets to the newest weights ignores them.
 type assumedWeights struct {
 	model   string
 	weights string
@@ -217,7 +219,7 @@
 	return out
 }
 
-// WeightsOf returns the weights that one incarnation of a target was last seen with.
+// WeightsOf returns the weights that an incarnation of a target last reported.
 func (b *Board) WeightsOf(m TargetKey, model string) string {
 	t, ok := b.targetByKey(m)
 	if !ok {
@@ -226,9 +228,9 @@
 	return t.report.Weights[model]
 }
 
-// handleWeightsMismatch takes the word of a target that it is the expected incarnation and
-// has other weights than were expected. Most likely it was brought to the newest, and
-// told of late. If that was believed already, nothing is sent until its next report.
+// handleWeightsMismatch handles a refusal by the expected incarnation because it has other weights
+// than expected. Most likely it was updated to the newest weights and the report of it is late. If
+// that was already assumed, nothing is sent to the target until its next report.
 func (b *Board) handleWeightsMismatch(now time.Time, a *attempt) {
 	r, ok := b.requests[a.Request]
 	if !ok || b.staleness == nil {
@@ -249,65 +251,65 @@
 		g.until = t.assumed.until
 	}
 	b.setAssumedWeights(now, t, g)
-	b.noteWeights(t, map[string]string{model: newest}, "its refusal")
+	b.emitWeights(t, map[string]string{model: newest}, "its refusal")
 }
 
-// setAssumedWeights changes what a target is taken to have beside what it reports.
+// setAssumedWeights changes the weights that a target is assumed to have.
 func (b *Board) setAssumedWeights(now time.Time, t *target, g assumedWeights) {
-	had := t.weights()
+	previous := t.weights()
 	t.assumed = g
-	b.applyWeightsChange(now, t, had)
+	b.applyWeightsChange(now, t, previous)
 }
 
-// applyWeightsChange forgets what is believed of a target's cache if the weights that
-// requests expect there are no longer those that it had.
-func (b *Board) applyWeightsChange(now time.Time, t *target, had map[string]string) {
-	if sameWeights(had, t.weights()) {
+// applyWeightsChange invalidates the cache entries about a target if the weights that requests
+// expect there have changed.
+func (b *Board) applyWeightsChange(now time.Time, t *target, previous map[string]string) {
+	if sameWeights(previous, t.weights()) {
 		return
 	}
 	b.renewSlot(now, t)
 	b.version++
 }
 
-// WeightsUpdate says which weights a target was seen to have.
+// WeightsUpdate reports the weights that a target was observed to have.
 type WeightsUpdate struct {
 	Target  TargetKey
 	Model   string
 	Weights string
 }
 
-// WeightsLoaded takes the word that a target has newer weights than it was last seen with.
+// WeightsLoaded records that a target has newer weights than it last reported.
 func (b *Board) WeightsLoaded(now time.Time, w WeightsUpdate) []Action {
 	t, ok := b.targetByKey(w.Target)
 	if !ok || !OlderWeights(t.report.Weights[w.Model], w.Weights) {
 		return nil
 	}
-	had := t.weights()
+	previous := t.weights()
 	t.report.Weights = map[string]string{w.Model: w.Weights}
 	t.assumed = assumedWeights{}
-	b.applyWeightsChange(now, t, had)
-	b.noteWeights(t, t.report.Weights, "the holder of the lease")
+	b.applyWeightsChange(now, t, previous)
+	b.emitWeights(t, t.report.Weights, "the lease holder")
 	return b.dispatch(now)
 }
 
-func (b *Board) noteWeights(t *target, weights map[string]string, source string) {
+func (b *Board) emitWeights(t *target, weights map[string]string, source string) {
 	for model, w := range weights {
-		b.emit(event.Event{Code: event.TargetWeights, Target: t.name(), Detail: model + " " + w + ", says " + source})
+		b.emit(event.Event{Code: event.TargetWeights, Target: t.name(), Detail: model + " " + w + ", reported by " + source})
 	}
 }
 
-// applyReportedWeights takes the weights of a target's report. An older word than is known of
-// the incarnation changes nothing, but for a guess whose time is over.
-func (b *Board) applyReportedWeights(now time.Time, t *target, r Report, had map[string]string) {
+// applyReportedWeights applies the weights in a target's report. A report with the same weights as
+// before only clears an assumption that has expired.
+func (b *Board) applyReportedWeights(now time.Time, t *target, r Report, previous map[string]string) {
 	changed := !sameWeights(t.report.Weights, r.Weights)
 	if changed || !now.Before(t.assumed.until) {
 		t.assumed = assumedWeights{}
 	}
 	if changed && !t.reported.IsZero() {
-		b.noteWeights(t, r.Weights, "its own entry")
+		b.emitWeights(t, r.Weights, "its own list entry")
 	}
 	t.report.Weights = r.Weights
-	b.applyWeightsChange(now, t, had)
+	b.applyWeightsChange(now, t, previous)
 }
 
 // regresses reports whether a report has older weights than are known of the same incarnation.
--- a/route/weights_test.go
+++ b/route/weights_test.go
@@ -10,8 +10,8 @@
 	"github.com/pathhead/pathhead/event"
 )
 
-// That a target's weights are used no more is recorded once, with how long ago newer
-// ones were named.
+// An event records once that a target's weights are no longer used, with the time since newer ones
+// were named.
 func TestOutdatedNoted(t *testing.T) {
 	var notes []event.Event
 	p := newPartsBoard(t, 1, WithEventHandler(func(e event.Event) {
@@ -27,52 +27,52 @@
 		}
 	}
 	require.Len(t, notes, 1)
-	require.Equal(t, "m 1: newer ones, by now 2, were named from 9s to 9s ago as far as is known here", notes[0].Detail)
+	require.Equal(t, "m 1: replaced between 9s and 9s ago, as far as known; the newest are 2", notes[0].Detail)
 	require.Equal(t, 12*time.Second, p.b.OldestInUse(p.now))
 }
 
-// Old weights are used as long as they may be by the earliest moment at which newer
-// ones may have been named, whoever knows it, and a little at the start of a process
-// where nobody does.
+// Old weights are used up to the limit counted from the earliest time at which newer ones may have
+// been named, whichever process knows it. If none knows it, a process uses them for a short time
+// after its start.
 func TestWeightsAge(t *testing.T) {
 	at := func(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
-	word := func(weights string, first, last float64) NewestSpan {
+	span := func(weights string, first, last float64) NewestSpan {
 		return NewestSpan{Model: "m", Weights: weights, First: at(first), Last: at(last)}
 	}
-	const start = 14 // when the process started that these boards belong to
+	const start = 14 // start time of the process that these boards belong to
 	for name, c := range map[string]struct {
-		told []NewestSpan
-		// until is how many seconds after epoch weights 1 are used last.
+		spans []NewestSpan
+		// until is the time up to which weights 1 are used, in seconds after epoch.
 		until float64
 	}{
-		"it saw the naming itself": {
-			told: []NewestSpan{word("1", 0, 13), word("2", 14, 14)}, until: 13 + 9,
+		"it observed the naming itself": {
+			spans: []NewestSpan{span("1", 0, 13), span("2", 14, 14)}, until: 13 + 9,
 		},
-		"it started after the naming and nobody can tell": {
-			told: []NewestSpan{word("4", start, start)}, until: start + 3,
+		"it started after the naming, which no process observed": {
+			spans: []NewestSpan{span("4", start, start)}, until: start + 3,
 		},
-		"a peer saw the naming": {
-			told: []NewestSpan{word("4", start, start), word("1", 0, 12), word("4", 12.1, 13)}, until: 12 + 9,
+		"a peer observed the naming": {
+			spans: []NewestSpan{span("4", start, start), span("1", 0, 12), span("4", 12.1, 13)}, until: 12 + 9,
 		},
-		"a peer saw those between": {
-			told: []NewestSpan{word("4", start, start), word("1", 0, 2), word("2", 2.1, 7), word("3", 7.1, 12)}, until: 2.1 + 9,
+		"a peer observed the namings in between": {
+			spans: []NewestSpan{span("4", start, start), span("1", 0, 2), span("2", 2.1, 7), span("3", 7.1, 12)}, until: 2.1 + 9,
 		},
 		"a record ends before the naming": {
-			told: []NewestSpan{word("1", 0, 4), word("2", start, start)}, until: start + 3,
+			spans: []NewestSpan{span("1", 0, 4), span("2", start, start)}, until: start + 3,
 		},
-		"they were replaced too long ago for certain": {
-			told: []NewestSpan{word("2", 3, 13), word("4", start, start)}, until: 3 + 9,
+		"they were certainly replaced too long ago": {
+			spans: []NewestSpan{span("2", 3, 13), span("4", start, start)}, until: 3 + 9,
 		},
-		"a peer's word was long on its way": {
-			told: []NewestSpan{word("4", start, start), {Model: "m", Weights: "1", First: at(13.5)}}, until: start + 3,
+		"a peer's update was long in transit": {
+			spans: []NewestSpan{span("4", start, start), {Model: "m", Weights: "1", First: at(13.5)}}, until: start + 3,
 		},
-		"its watch had a gap": {
-			told: []NewestSpan{word("1", 0, 26), word("2", 40, 40)}, until: 26 + 9,
+		"its observations had a gap": {
+			spans: []NewestSpan{span("1", 0, 26), span("2", 40, 40)}, until: 26 + 9,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBoard(WithNumberedWeights(Staleness{Limit: 9 * time.Second, BeginLimit: 10 * time.Second, UnknownUntil: at(start + 3)}))
-			for _, s := range c.told {
+			for _, s := range c.spans {
 				b.AddNewestSpan(s.First, s)
 			}
 			until := at(c.until)
@@ -82,7 +82,7 @@
 	}
 }
 
-// What one process tells another says the same there, as far as the way allows.
+// An update between processes preserves the span, up to the uncertainty of the transit time.
 func TestNewestUpdate(t *testing.T) {
 	now := epoch.Add(time.Minute)
 	for name, s := range map[string]NewestSpan{
@@ -95,14 +95,14 @@
 			late := w.Span(now, now.Add(time.Second))
 			require.Equal(t, s.First.Add(time.Second), late.First, "it may have been named by then, not before")
 			require.Equal(t, s.Last, late.Last)
-			require.True(t, w.Span(time.Time{}, now).Last.IsZero(), "nobody knows how long the word was on its way")
+			require.True(t, w.Span(time.Time{}, now).Last.IsZero(), "the time in transit is unknown")
 		})
 	}
 }
 
-// Whatever processes are told of namings in whatever order, with restarts that forget
-// all, weights are never used past the bound after the first naming that replaced them,
-// but for what a process may at its start.
+// Whatever processes learn about namings, in any order and with restarts that lose all state,
+// weights are never used beyond the limit after the first naming that replaced them, except for the
+// time allowed after a process start.
 func TestWeightsAgeFuzz(t *testing.T) {
 	const limit, unknown = 9 * time.Second, 3 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
@@ -138,11 +138,11 @@
 				}
 			case 1:
 				start(i)
-			case 2: // The store answers, at some moment of the call.
+			case 2: // The store answers at some time during the call.
 				way := time.Duration(rapid.IntRange(0, 700).Draw(rt, "way")) * time.Millisecond
 				back := time.Duration(rapid.IntRange(0, 700).Draw(rt, "back")) * time.Millisecond
 				boards[i].AddNewestSpan(now, NewestAt(now.Add(-back-way), now, "m", newest(now.Add(-back))))
-			default: // Another board's word, which was on its way for some time.
+			default: // An update from another board that was in transit for some time.
 				j := rapid.IntRange(0, len(boards)-1).Draw(rt, "peer")
 				delay := time.Duration(rapid.IntRange(0, 3000).Draw(rt, "delay")) * time.Millisecond
 				asked := rapid.Bool().Draw(rt, "asked")
@@ -169,7 +169,7 @@
 	})
 }
 
-// An older word about an incarnation's weights undoes no newer one, and a target that
+// An older report about an incarnation's weights does not override a newer one, and a target that
 // refuses because of its weights is believed.
 func TestWeightsUpdates(t *testing.T) {
 	p := newPartsBoard(t, 1)
@@ -187,32 +187,32 @@
 	p.refuseWeights(a)
 	p.report(0, "2")
 	a = p.place(p.request("a", Part{"y", 10}))
-	require.Equal(t, "10", a.Weights, "the next request expects what the target has, also while the list lags")
+	require.Equal(t, "10", a.Weights, "the next request expects what the target has, even while the list lags")
 	p.finish(a)
 	p.report(0, "10")
 	require.Equal(t, "10", p.b.WeightsOf(mark, "m"))
 }
 
-// A target that refused because of its weights need not have the newest: what was guessed
-// is not taken for seen, so that it is still brought on, and yields to its own reports.
+// A target that refused because of its weights need not have the newest. The assumed weights do not
+// count as observed, so the target is still updated, and they yield to its own reports.
 func TestAssumedWeights(t *testing.T) {
 	for name, play := range map[string]func(p *partsBoard){
-		"it reports weights between": func(p *partsBoard) { p.report(0, "2") },
-		"it refuses the guess": func(p *partsBoard) {
+		"it reports weights in between": func(p *partsBoard) { p.report(0, "2") },
+		"it refuses the assumed weights": func(p *partsBoard) {
 			a := p.place(p.request("a", Part{"z", 10}))
 			require.Equal(p.t, "4", a.Weights)
 			p.refuseWeights(a)
 			require.Nil(p.t, p.place(p.request("a", Part{"v", 10})), "nothing is sent before it reports itself")
 			p.report(0, "2")
 		},
-		"the holder of the lease saw it": func(p *partsBoard) {
+		"the lease holder observed it": func(p *partsBoard) {
 			p.b.WeightsLoaded(p.now, WeightsUpdate{TargetKey{testAddr(0), "0"}, "m", "2"})
 		},
-		"the list lags for long, and then says so": func(p *partsBoard) {
+		"the list lags for long, and then reports it again": func(p *partsBoard) {
 			p.now = p.now.Add(testGuessTime)
 			p.report(0, "1")
 			a := p.place(p.request("a", Part{"z", 10}))
-			require.Equal(p.t, "1", a.Weights, "its own word goes first again")
+			require.Equal(p.t, "1", a.Weights, "its own report takes precedence again")
 			p.refuseWeights(a)
 			p.report(0, "2")
 		},
@@ -225,7 +225,7 @@
 			a := p.place(p.request("a", Part{"x", 10}))
 			require.Equal(t, "1", a.Weights)
 			p.refuseWeights(a)
-			require.Equal(t, "1", p.b.WeightsOf(TargetKey{testAddr(0), "0"}, "m"), "nobody saw the target with others")
+			require.Equal(t, "1", p.b.WeightsOf(TargetKey{testAddr(0), "0"}, "m"), "the target was not observed with other weights")
 			play(p)
 			require.Equal(t, "2", p.b.WeightsOf(TargetKey{testAddr(0), "0"}, "m"))
 			a = p.place(p.request("a", Part{"y", 10}))
@@ -234,8 +234,8 @@
 	}
 }
 
-// What waits at a target is withdrawn before it would begin on weights that are too old,
-// and nothing is sent where it would have to wait for so long.
+// A request that waits at a target is withdrawn before it would begin on weights that are too old,
+// and nothing is sent to a target where it would wait that long.
 func TestWeightsWithdrawn(t *testing.T) {
 	p := newPartsBoard(t, 2)
 	p.announceWeights("2")
@@ -262,21 +262,21 @@
 	require.Empty(t, p.b.Tick(p.now), "it is withdrawn once")
 }
 
-// A refusal says that a target has other weights than were expected, and not which.
-// What is guessed then holds for requests against reports of the weights that it has no
-// more, and not against its own report of newer ones; what it was seen with is not guessed.
+// A refusal reveals that a target has other weights than expected, but not which ones. The assumed
+// weights then take precedence over late reports of the earlier weights, but not over the target's
+// own report of newer ones. The observed weights are not changed by the assumption.
 func TestRefusedWeights(t *testing.T) {
 	for name, c := range map[string]struct {
 		reports    []string
 		want, seen string
 	}{
-		"the list lags":                         {reports: []string{"1", "1"}, want: "4", seen: "1"},
-		"brought to the newest":                 {reports: []string{"4"}, want: "4", seen: "4"},
-		"a late order to the middle":            {reports: []string{"2"}, want: "2", seen: "2"},
-		"the list lags, and then a late order":  {reports: []string{"1", "2"}, want: "2", seen: "2"},
-		"a late order, and then the list lags":  {reports: []string{"2", "1"}, want: "2", seen: "2"},
-		"a late order, and then to the newest":  {reports: []string{"2", "4"}, want: "4", seen: "4"},
-		"the newest, and then an older reading": {reports: []string{"4", "2"}, want: "4", seen: "4"},
+		"the list lags":                        {reports: []string{"1", "1"}, want: "4", seen: "1"},
+		"updated to the newest":                {reports: []string{"4"}, want: "4", seen: "4"},
+		"a late order to those in between":     {reports: []string{"2"}, want: "2", seen: "2"},
+		"the list lags, and then a late order": {reports: []string{"1", "2"}, want: "2", seen: "2"},
+		"a late order, and then the list lags": {reports: []string{"2", "1"}, want: "2", seen: "2"},
+		"a late order, and then to the newest": {reports: []string{"2", "4"}, want: "4", seen: "4"},
+		"the newest, and then an older report": {reports: []string{"4", "2"}, want: "4", seen: "4"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPartsBoard(t, 1)
@@ -298,8 +298,8 @@
 	}
 }
 
-// A prompt that takes longer to read than is left until requests may begin no more is not
-// sent there: it would be withdrawn while it is read, and sent to another target after that.
+// A prompt that takes longer to read than the time left for requests to begin is not sent to the
+// target, because it would be withdrawn while it is read and then sent to another target.
 func TestWeightsTooLateForOwnPrompt(t *testing.T) {
 	p := newPartsBoard(t, 1)
 	p.announceWeights("2")
@@ -312,7 +312,7 @@
 	require.Less(t, p.now.Add(own), epoch.Add(testBeginLimit), "it takes %s to read", own)
 }
 
-// refuseWeights ends an attempt that its target refused, being the expected incarnation.
+// refuseWeights ends an attempt with a refusal by the expected incarnation.
 func (p *partsBoard) refuseWeights(a *Attempt) {
 	p.b.Ended(p.now, Outcome{Request: a.Request, Attempt: a.ID, Kind: OutcomeRefused, Incarnation: a.Incarnation})
 }
