--- a/route/attempt.go
+++ b/route/attempt.go
@@ -85,7 +85,7 @@
 	}
 	a.target.sends.add(now, 1)
 	if o.Kind == OutcomeUnsent {
-		a.giveBackLimit(now)
+		a.refundLimit(now)
 	}
 	if o.Kind == OutcomeDone {
 		a.target.answeredAt = now
@@ -195,7 +195,7 @@
 	if o.Kind != OutcomeRefused && !a.cancelled && !o.TargetError {
 		b.recordTargetFailure(a.target)
 		if o.Silent {
-			b.markSilent(now, a.target)
+			b.markUnresponsive(now, a.target)
 		}
 	}
 }
--- a/route/fill_test.go
+++ b/route/fill_test.go
@@ -39,7 +39,7 @@
 	return r
 }
 
-func (p *partsBoard) sentTargets(actions []Action) []string {
+func (p *partsBoard) sentRequests(actions []Action) []string {
 	var out []string
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -59,9 +59,9 @@
 	other := f.place(f.requestWithAim(time.Second, Part{"cc", 3000}, Part{"own3", 500}))
 	require.NotNil(t, other, "a request without shared parts does not wait")
 	f.now = f.now.Add(40 * time.Millisecond)
-	require.Empty(t, f.sentTargets(f.b.Tick(f.now)))
+	require.Empty(t, f.sentRequests(f.b.Tick(f.now)))
 	f.now = f.now.Add(60 * time.Millisecond)
-	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.FirstToken(f.now, first.Request, first.ID)))
+	require.Equal(t, []string{second.ID}, f.sentRequests(f.b.FirstToken(f.now, first.Request, first.ID)))
 }
 
 // TestAwaitsPendingFillWithinAim checks that a request does not wait for a pending fill if only
@@ -90,7 +90,7 @@
 			first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
 			second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
 			require.Nil(t, f.place(second))
-			require.Contains(t, f.sentTargets(then(f, first)), second.ID)
+			require.Contains(t, f.sentRequests(then(f, first)), second.ID)
 		})
 	}
 }
@@ -106,7 +106,7 @@
 	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
 	require.Nil(t, f.place(second))
 	f.now = f.now.Add(reports[0].Fills[0].Left + time.Millisecond)
-	require.Equal(t, []string{second.ID}, f.sentTargets(f.b.Tick(f.now)))
+	require.Equal(t, []string{second.ID}, f.sentRequests(f.b.Tick(f.now)))
 	f.b.MergePeers(f.now, nil, 1)
 	require.Empty(t, f.b.pendingFills, "expired fills are removed")
 }
@@ -118,8 +118,8 @@
 	first := f.place(f.requestWithAim(time.Second, append(shared, own)...))
 	second := f.requestWithAim(time.Second, append(shared, Part{"own2", 500})...)
 	require.Nil(t, f.place(second))
-	require.Empty(t, f.sentTargets(f.b.CallerGone(f.now, second.ID)))
+	require.Empty(t, f.sentRequests(f.b.CallerGone(f.now, second.ID)))
 	f.now = f.now.Add(100 * time.Millisecond)
-	require.Empty(t, f.sentTargets(f.b.FirstToken(f.now, first.Request, first.ID)))
-	require.Empty(t, f.sentTargets(f.b.Tick(f.now)))
+	require.Empty(t, f.sentRequests(f.b.FirstToken(f.now, first.Request, first.ID)))
+	require.Empty(t, f.sentRequests(f.b.Tick(f.now)))
 }
--- a/route/health.go
+++ b/route/health.go
@@ -25,8 +25,8 @@
 	return time.Duration(t.failedSends.value / (t.sends.value + 1) * float64(maxFailurePenalty))
 }
 
-// markSilent marks a target as failing because it did not respond to this router.
-func (b *Board) markSilent(now time.Time, t *target) {
+// markUnresponsive marks a target as failing because it did not respond to this router.
+func (b *Board) markUnresponsive(now time.Time, t *target) {
 	t.unresponsiveAt = now
 	b.markFailing(now, t, "it did not respond")
 }
--- a/route/shared_test.go
+++ b/route/shared_test.go
@@ -143,9 +143,9 @@
 	require.True(t, usable(), "it answered here just now")
 
 	p.now = p.now.Add(time.Minute)
-	p.b.markSilent(p.now, p.b.targets[testAddr(0)])
+	p.b.markUnresponsive(p.now, p.b.targets[testAddr(0)])
 	require.Equal(t, []UnresponsiveUpdate{{mark, 1}}, p.b.State(p.now).Silent)
-	p.b.markSilent(p.now, p.b.targets[testAddr(1)])
+	p.b.markUnresponsive(p.now, p.b.targets[testAddr(1)])
 	require.Empty(t, p.b.State(p.now).Silent, "a router to which no target responds is at fault itself")
 	require.Empty(t, p.b.State(p.now.Add(2*unresponsiveReportTime)).Silent)
 }
--- a/route/silent_test.go
+++ b/route/silent_test.go
@@ -19,7 +19,7 @@
 	waiting := f.request("a", own)
 	require.Nil(t, f.place(waiting))
 	f.now = f.now.Add(5 * time.Millisecond)
-	require.Equal(t, []string{waiting.ID}, f.sentTargets(f.b.Reached(f.now, testAddr(0))))
+	require.Equal(t, []string{waiting.ID}, f.sentRequests(f.b.Reached(f.now, testAddr(0))))
 	require.Empty(t, f.b.State(f.now).Silent)
 }
 
--- a/route/target_limit.go
+++ b/route/target_limit.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// giveBackLimit refunds the charge of an attempt that did not reach its target.
-func (a *attempt) giveBackLimit(now time.Time) {
+// refundLimit refunds the charge of an attempt that did not reach its target.
+func (a *attempt) refundLimit(now time.Time) {
 	if a.limited && a.target.limit.named {
 		a.target.limit.bucket.refund(now, 1)
 	}
--- a/route/weights.go
+++ b/route/weights.go
@@ -243,7 +243,7 @@
 	newest := b.NewestWeights(model)
 	if !OlderWeights(a.Weights, newest) {
 		b.setAssumedWeights(now, t, assumedWeights{})
-		b.markSilent(now, t)
+		b.markUnresponsive(now, t)
 		return
 	}
 	g := assumedWeights{model: model, weights: newest, until: now.Add(b.staleness.GuessTime)}
