--- a/cmd/pathhead-fleet/main.go
+++ b/cmd/pathhead-fleet/main.go
@@ -11,8 +11,8 @@
 )
 
 type flags struct {
-	cli.Common
-	cli.Keys
+	cli.CommonFlags
+	cli.CredentialFlags
 	Name        string           `help:"Name of this process, unique among all." required:"" env:"PATHHEAD_NAME"`
 	Operators   netip.AddrPort   `help:"Address of the operators' door." default:"127.0.0.1:8181" env:"PATHHEAD_OPERATORS"`
 	Peers       netip.AddrPort   `help:"Address of the peers' door." default:"127.0.0.1:8182" env:"PATHHEAD_PEERS"`
@@ -31,10 +31,10 @@
 	cli.Parse(&f, "Keeps the engines of each pool matched to the declaration.")
 	server, client, err := f.PeerTLS()
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	if err := cli.CheckURLs(map[string]string{"table": f.Table, "vms": f.VMs}); err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	c, err := controller.New(controller.Settings{
 		Name: f.Name, Operators: f.Operators, Peers: f.Peers, Seeds: f.Seeds,
@@ -42,10 +42,10 @@
 		PeerServer: server, PeerClient: client,
 	}, f.ports(), controller.WithLogger(f.Logger(f.Name)))
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	if err := f.Run(c.Run); err != nil {
-		cli.Fail(cli.ExitFailed, err)
+		cli.Exit(cli.ExitFailed, err)
 	}
 }
 
--- a/cmd/pathhead-load/main.go
+++ b/cmd/pathhead-load/main.go
@@ -106,7 +106,7 @@
 	defer client.Close()
 	for _, a := range w.Arrivals(c.Seed)[:c.Count] {
 		a.MaxTokens = c.MaxTokens
-		r := client.Ask(ctx, a)
+		r := client.Do(ctx, a)
 		fmt.Printf("request %s of %s: status %d, first token %s, whole answer %s, %d of %d prompt tokens cached\n  answer: %s\n",
 			r.Request, r.Org, r.Status, r.FirstToken.Round(100*time.Microsecond), r.Total.Round(100*time.Microsecond), r.Cached, r.Prompt, r.Text)
 		if !r.OK() {
@@ -192,10 +192,10 @@
 func main() {
 	var f flags
 	kctx := cli.Parse(&f, "Plays seeded workloads against routers and writes reports.")
-	ctx, stop := cli.Signalled()
+	ctx, stop := cli.SignalContext()
 	defer stop()
 	kctx.BindTo(ctx, (*context.Context)(nil))
 	if err := kctx.Run(); err != nil {
-		cli.Fail(cli.ExitFailed, err)
+		cli.Exit(cli.ExitFailed, err)
 	}
 }
--- a/cmd/pathhead-node/main.go
+++ b/cmd/pathhead-node/main.go
@@ -18,14 +18,14 @@
 )
 
 type flags struct {
-	cli.Common
+	cli.CommonFlags
 	Settings    string   `help:"The platform's settings file." env:"PATHHEAD_CONFIG" placeholder:"FILE"`
 	Placement   string   `help:"Placement policy: predict, or a baseline for measurements: random, round-robin, least-load, prefix-hash." default:"predict" env:"PATHHEAD_PLACEMENT"`
 	MetricsPort uint16   `help:"Port of the counters on the VM's address; 0 for none." default:"0" env:"PATHHEAD_METRICS_PORT"`
 	SmallFleet  int      `help:"Size of fleet up to which all nodes talk to each other and read the store; in a larger one a few relay for the others." default:"16" env:"PATHHEAD_SMALL_FLEET"`
 	Without     []string `help:"Mechanisms to switch off for an experiment." env:"PATHHEAD_WITHOUT" placeholder:"NAME"`
 	Mechanisms  bool     `help:"Print the mechanisms that can be switched off, and end."`
-	cli.Crashes
+	cli.CrashFlags
 	MetricsPath string `help:"Path of the counters." default:"/metrics" env:"PATHHEAD_METRICS_PATH"`
 }
 
@@ -37,19 +37,19 @@
 		return
 	}
 	if f.Settings == "" {
-		cli.Fail(cli.ExitUsage, errors.New("--settings or PATHHEAD_CONFIG must name the platform's settings file"))
+		cli.Exit(cli.ExitUsage, errors.New("--settings or PATHHEAD_CONFIG must name the platform's settings file"))
 	}
 	set, err := platform.ReadSettings(f.Settings)
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	placer, ok := route.Placers()[f.Placement]
 	if !ok {
-		cli.Fail(cli.ExitUsage, fmt.Errorf("placement %q is not known", f.Placement))
+		cli.Exit(cli.ExitUsage, fmt.Errorf("placement %q is not known", f.Placement))
 	}
 	off, err := route.ParseMechanisms(f.Without)
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	counters := metrics.NewSet()
 	called := func(name string) {
@@ -58,7 +58,7 @@
 	dropped := counters.NewCounter("pathhead_log_lines_dropped_total")
 	log, out := f.StdoutLogger(set.Name, func(n int) { dropped.Add(n) })
 	defer out.Close()
-	now, counts := clock.Machine()
+	now, counts := clock.BootTime()
 	if !counts {
 		log.Warn("this system tells no time that a suspended machine does not count; do not suspend it")
 	}
@@ -68,7 +68,7 @@
 	}
 	n, err := node.New(set, platform.NewStore(set.Store, called, platform.WithClock(now)), platform.Protocol{}, platform.NewEngines(called, platform.WithClock(now)), opts...)
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	err = f.Run(func(ctx context.Context) error {
 		cli.WatchFile(ctx, f.Settings, func() { reload(n, f.Settings) })
@@ -77,7 +77,7 @@
 	if err != nil {
 		log.Error("the node ended", "error", err.Error())
 		out.Close()
-		cli.Fail(cli.ExitFailed, err)
+		cli.Exit(cli.ExitFailed, err)
 	}
 }
 
--- a/cmd/pathhead-router/main.go
+++ b/cmd/pathhead-router/main.go
@@ -11,8 +11,8 @@
 )
 
 type flags struct {
-	cli.Common
-	cli.Keys
+	cli.CommonFlags
+	cli.CredentialFlags
 	Name        string           `help:"Name of this process, unique among routers." required:"" env:"PATHHEAD_NAME"`
 	Hall        string           `help:"Hall (failure domain) this VM stands in." env:"PATHHEAD_HALL"`
 	Callers     netip.AddrPort   `help:"Address of the callers' door." default:"127.0.0.1:8080" env:"PATHHEAD_CALLERS"`
@@ -35,7 +35,7 @@
 	CacheEvents bool             `help:"Read the engines' cache events besides learning from answers." env:"PATHHEAD_CACHE_EVENTS"`
 	CallerCert  string           `help:"Certificate file (PEM) of the callers' door; without it the door is plain HTTP." env:"PATHHEAD_CALLER_CERT" placeholder:"FILE"`
 	CallerKey   string           `help:"Key file of the callers' certificate." env:"PATHHEAD_CALLER_KEY" placeholder:"FILE"`
-	cli.Crashes
+	cli.CrashFlags
 	Seed uint64 `help:"Seed of random choices; 0 takes one from the clock." env:"PATHHEAD_SEED"`
 }
 
@@ -44,14 +44,14 @@
 	cli.Parse(&f, "Answers callers, places and forwards their requests.")
 	set, err := f.settings()
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	r, err := router.New(set, f.ports(), router.WithLogger(f.Logger(f.Name)))
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
 	if err := f.Run(r.Run); err != nil {
-		cli.Fail(cli.ExitFailed, err)
+		cli.Exit(cli.ExitFailed, err)
 	}
 }
 
--- a/cmd/pathhead-soak/main.go
+++ b/cmd/pathhead-soak/main.go
@@ -117,10 +117,10 @@
 func main() {
 	var f flags
 	kctx := cli.Parse(&f, "Plays seeded plans of faults against real nodes and checks what callers and targets see.")
-	ctx, stop := cli.Signalled()
+	ctx, stop := cli.SignalContext()
 	defer stop()
 	kctx.BindTo(ctx, (*context.Context)(nil))
 	if err := kctx.Run(); err != nil {
-		cli.Fail(cli.ExitFailed, err)
+		cli.Exit(cli.ExitFailed, err)
 	}
 }
--- a/cmd/pathhead-standin/main.go
+++ b/cmd/pathhead-standin/main.go
@@ -22,7 +22,7 @@
 )
 
 type flags struct {
-	cli.Common
+	cli.CommonFlags
 	Listen netip.AddrPort `help:"Address to serve on." required:""`
 	Name   string         `help:"Name in events." default:"standin"`
 	Seed   uint64         `help:"Seed of random faults." default:"1"`
@@ -59,8 +59,8 @@
 		CrashOn: c.CrashOn, Crash: func() { os.Exit(cli.ExitFailed) }, Seed: f.Seed,
 	}, rec)
 	return serve(f, e.Handler(), func(ctx context.Context) {
-		e.Leave()
-		e.Drained(ctx)
+		e.Drain()
+		e.WaitIdle(ctx)
 	})
 }
 
@@ -70,7 +70,7 @@
 
 func (c *serviceCmd) Run(f *flags, rec *event.Recorder) error {
 	s := standin.NewService(standin.ServiceConfig{Name: f.Name, Delay: c.Delay, Seed: f.Seed}, rec)
-	return serve(f, s.Handler(), func(context.Context) { s.Leave() })
+	return serve(f, s.Handler(), func(context.Context) { s.Drain() })
 }
 
 type keptCmd struct {
@@ -78,7 +78,7 @@
 }
 
 func (c *keptCmd) Run(f *flags, _ *event.Recorder) error {
-	return serve(f, standin.NewKept(c.Limit, f.Seed).Handler(), nil)
+	return serve(f, standin.NewKVStore(c.Limit, f.Seed).Handler(), nil)
 }
 
 type tableCmd struct{}
@@ -144,7 +144,7 @@
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	ctx, stop := cli.Signalled()
+	ctx, stop := cli.SignalContext()
 	defer stop()
 	s := &http.Server{Handler: h, ReadHeaderTimeout: stopTime}
 	done := make(chan struct{})
@@ -170,6 +170,6 @@
 	ctx := cli.Parse(&f, "Runs one small fake of what pathhead meets outside.")
 	rec := event.New(f.Name, event.WithLogger(f.Logger(f.Name)))
 	if err := ctx.Run(&f, rec); err != nil {
-		cli.Fail(cli.ExitFailed, err)
+		cli.Exit(cli.ExitFailed, err)
 	}
 }
--- a/cmd/pathheadctl/main.go
+++ b/cmd/pathheadctl/main.go
@@ -23,7 +23,7 @@
 )
 
 type flags struct {
-	cli.Keys
+	cli.CredentialFlags
 	Version   kong.VersionFlag `help:"Print the version and end."`
 	Table     string           `help:"URL of the table service." env:"PATHHEAD_TABLE"`
 	TableName string           `help:"Name of the table." default:"pathhead" env:"PATHHEAD_TABLE_NAME"`
@@ -179,15 +179,15 @@
 	kctx := cli.Parse(&f, "Applies and shows configurations, and asks running processes.")
 	tool, err := f.tool()
 	if err != nil {
-		cli.Fail(cli.ExitUsage, err)
+		cli.Exit(cli.ExitUsage, err)
 	}
-	ctx, stop := cli.Signalled()
+	ctx, stop := cli.SignalContext()
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
 	defer cancel()
 	kctx.BindTo(ctx, (*context.Context)(nil))
 	if err := kctx.Run(tool); err != nil {
-		cli.Fail(exitCode(err), err)
+		cli.Exit(exitCode(err), err)
 	}
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -140,9 +140,9 @@
 // Run works until ctx ends, then gives its leases up.
 func (c *Controller) Run(ctx context.Context) error {
 	server := &http.Server{Handler: c.operatorsHandler(), ReadHeaderTimeout: orderTimeout}
-	doors, err := door.Open(
-		func() (door.Door, error) { return peer.Open(c.set.Peers, c.set.PeerServer, c) },
-		func() (door.Door, error) { return door.HTTP(c.set.Operators, server, c.set.PeerServer, c.log) },
+	doors, err := door.OpenAll(
+		func() (door.Listener, error) { return peer.Open(c.set.Peers, c.set.PeerServer, c) },
+		func() (door.Listener, error) { return door.HTTP(c.set.Operators, server, c.set.PeerServer, c.log) },
 	)
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 	wg.Go(func() { c.gossipLoop(ctx) })
 	c.workLoop(ctx)
 	c.freeAll()
-	door.Close(doors)
+	door.CloseAll(doors)
 	wg.Wait()
 	c.peers.Close()
 	c.events.Record(event.Event{Code: event.ProcessStopped})
--- a/dispatch/driver.go
+++ b/dispatch/driver.go
@@ -57,7 +57,7 @@
 		export:       func(route.Export) {},
 		onArrival:    func() {},
 		onAttemptEnd: func(route.OutcomeKind) {},
-		now:          clock.Steady,
+		now:          clock.Monotonic,
 		wake:         make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -45,8 +45,8 @@
 	return info.Main.Version
 }
 
-// Common are the flags of every long-running program.
-type Common struct {
+// CommonFlags are the flags of every long-running program.
+type CommonFlags struct {
 	LogLevel  slog.Level       `help:"Least level that is logged: debug, info, warn or error." default:"info" env:"PATHHEAD_LOG_LEVEL"`
 	LogFormat string           `help:"Form of the log: text or json." enum:"text,json" default:"text" env:"PATHHEAD_LOG_FORMAT"`
 	Check     bool             `help:"Check the settings, print their faults and end."`
@@ -54,7 +54,7 @@
 }
 
 // Logger returns the log that the flags ask for, on standard error.
-func (c Common) Logger(process string) *slog.Logger {
+func (c CommonFlags) Logger(process string) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: c.LogLevel}
 	var h slog.Handler = slog.NewTextHandler(os.Stderr, opts)
 	if c.LogFormat == "json" {
@@ -63,21 +63,21 @@
 	return slog.New(h).With("process", process)
 }
 
-// Crashes are the flags that bound what requests may do to targets.
-type Crashes struct {
+// CrashFlags are the flags that bound what requests may do to targets.
+type CrashFlags struct {
 	CrashTargets int           `help:"Targets that may end under copies of one request before it is held back (2 to 8)." default:"3" env:"PATHHEAD_CRASH_TARGETS"`
 	CrashHold    time.Duration `help:"How long such a request is held back, for each further target twice as long, at most four times (1s to 1h)." default:"2m" env:"PATHHEAD_CRASH_HOLD"`
 }
 
 // CrashSettings returns the bounds that the flags set.
-func (c Crashes) CrashSettings() route.CrashSettings {
+func (c CrashFlags) CrashSettings() route.CrashSettings {
 	s := route.DefaultCrashSettings()
 	s.Targets, s.Hold = c.CrashTargets, c.CrashHold
 	return s
 }
 
-// Keys are the flags of a program's certificates.
-type Keys struct {
+// CredentialFlags are the flags of a program's certificates.
+type CredentialFlags struct {
 	PeerCert  string `help:"Certificate file (PEM) for mutual TLS with peers and operators; read again when it changes." env:"PATHHEAD_PEER_CERT" placeholder:"FILE"`
 	PeerKey   string `help:"Key file of the peers' certificate." env:"PATHHEAD_PEER_KEY" placeholder:"FILE"`
 	PeerCA    string `help:"Authority file that peers' and operators' certificates must be signed by." env:"PATHHEAD_PEER_CA" placeholder:"FILE"`
@@ -87,18 +87,18 @@
 }
 
 // PeerTLS returns the configurations for serving and calling peers, or nil without certificates.
-func (k Keys) PeerTLS() (server, client *tls.Config, err error) {
+func (k CredentialFlags) PeerTLS() (server, client *tls.Config, err error) {
 	if k.PeerCert == "" && k.PeerKey == "" && k.PeerCA == "" {
 		return nil, nil, nil
 	}
 	if k.PeerCert == "" || k.PeerKey == "" || k.PeerCA == "" {
 		return nil, nil, errs.Errorf("peer-cert, peer-key and peer-ca belong together")
 	}
-	pool, err := authority(k.PeerCA)
+	pool, err := loadCAPool(k.PeerCA)
 	if err != nil {
 		return nil, nil, err
 	}
-	pair := &KeyPair{cert: k.PeerCert, key: k.PeerKey}
+	pair := &ReloadingCertificate{cert: k.PeerCert, key: k.PeerKey}
 	if _, err := pair.load(); err != nil {
 		return nil, nil, err
 	}
@@ -116,7 +116,7 @@
 	return server, client, nil
 }
 
-func authority(file string) (*x509.CertPool, error) {
+func loadCAPool(file string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errs.Errorf("peer authority: %w", err)
@@ -133,7 +133,7 @@
 	if cert == "" && key == "" {
 		return nil, nil
 	}
-	pair := &KeyPair{cert: cert, key: key}
+	pair := &ReloadingCertificate{cert: cert, key: key}
 	if _, err := pair.load(); err != nil {
 		return nil, err
 	}
@@ -143,36 +143,36 @@
 	}, nil
 }
 
-// KeyPair is a certificate that is read again when its file changes.
-type KeyPair struct {
+// ReloadingCertificate is a certificate that is read again when its file changes.
+type ReloadingCertificate struct {
 	cert, key string
 
-	mu     sync.Mutex
-	loaded *tls.Certificate
-	from   time.Time
+	mu      sync.Mutex
+	loaded  *tls.Certificate
+	modTime time.Time
 }
 
-func (p *KeyPair) load() (*tls.Certificate, error) {
+func (p *ReloadingCertificate) load() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(p.cert)
 	if err != nil {
-		return p.orOld(errs.Errorf("certificate: %w", err))
+		return p.currentOr(errs.Errorf("certificate: %w", err))
 	}
-	if p.loaded != nil && info.ModTime().Equal(p.from) {
+	if p.loaded != nil && info.ModTime().Equal(p.modTime) {
 		return p.loaded, nil
 	}
 	pair, err := tls.LoadX509KeyPair(p.cert, p.key)
 	if err != nil {
-		return p.orOld(errs.Errorf("certificate: %w", err))
+		return p.currentOr(errs.Errorf("certificate: %w", err))
 	}
 	p.loaded = &pair
-	p.from = info.ModTime()
+	p.modTime = info.ModTime()
 	return p.loaded, nil
 }
 
-// orOld keeps the certificate in use while a new one can't be read.
-func (p *KeyPair) orOld(err error) (*tls.Certificate, error) {
+// currentOr keeps the certificate in use while a new one can't be read.
+func (p *ReloadingCertificate) currentOr(err error) (*tls.Certificate, error) {
 	if p.loaded != nil {
 		return p.loaded, nil
 	}
@@ -220,35 +220,35 @@
 
 // CheckURLs returns one error that lists every URL which is not an absolute HTTP one, by its flag.
 func CheckURLs(urls map[string]string) error {
-	var faults []error
+	var invalid []error
 	for _, name := range slices.Sorted(maps.Keys(urls)) {
 		u, err := url.Parse(urls[name])
 		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			faults = append(faults, errs.Errorf("%s is %q, must be a URL such as http://10.0.0.9:8000", name, urls[name]))
+			invalid = append(invalid, errs.Errorf("%s is %q, must be a URL such as http://10.0.0.9:8000", name, urls[name]))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(invalid...)
 }
 
-// Signalled returns a context that ends at SIGTERM or SIGINT, which begin a planned stop.
-func Signalled() (context.Context, context.CancelFunc) {
+// SignalContext returns a context that ends at SIGTERM or SIGINT, which begin a planned stop.
+func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
 // Run runs a program whose settings are valid until a signal stops it; where only
 // a check of them was asked for, it says so and ends.
-func (c Common) Run(run func(context.Context) error) error {
+func (c CommonFlags) Run(run func(context.Context) error) error {
 	if c.Check {
 		fmt.Println("the settings are valid")
 		return nil
 	}
-	ctx, stop := Signalled()
+	ctx, stop := SignalContext()
 	defer stop()
 	return run(ctx)
 }
 
-// Fail prints an error and ends the program with a code.
-func Fail(code int, err error) {
+// Exit prints an error and ends the program with a code.
+func Exit(code int, err error) {
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(code)
 }
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// settingsEvery is the time between two looks at a settings file, which may
+// settingsPollInterval is the time between two looks at a settings file, which may
 // change without a signal.
-const settingsEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // WatchFile calls changed after each SIGHUP, and when the file was written
 // without one, until ctx ends. From then on a SIGHUP is left without effect: it
@@ -19,36 +19,36 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	go func() {
-		tick := time.NewTicker(settingsEvery)
+		tick := time.NewTicker(settingsPollInterval)
 		defer tick.Stop()
-		last := fileStamp(path)
+		last := readFileVersion(path)
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case <-hup:
 			case <-tick.C:
-				if fileStamp(path) == last {
+				if readFileVersion(path) == last {
 					continue
 				}
 			}
-			last = fileStamp(path)
+			last = readFileVersion(path)
 			changed()
 		}
 	}()
 }
 
-// stamp tells two states of a file apart.
-type stamp struct {
-	size int64
-	at   time.Time
+// fileVersion tells two states of a file apart.
+type fileVersion struct {
+	size    int64
+	modTime time.Time
 }
 
-// fileStamp returns a file's state, zero while it can't be read.
-func fileStamp(path string) stamp {
+// readFileVersion returns a file's state, zero while it can't be read.
+func readFileVersion(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileVersion{}
 	}
-	return stamp{info.Size(), info.ModTime()}
+	return fileVersion{info.Size(), info.ModTime()}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,97 +16,97 @@
 // for as fresh as before. Timers stand still too: what they wake looks at a Clock.
 type Clock func() time.Time
 
-// Steady is the clock of [time.Now], which does not count the time in which the machine is suspended.
-func Steady() time.Time { return time.Now() }
+// Monotonic is the clock of [time.Now], which does not count the time in which the machine is suspended.
+func Monotonic() time.Time { return time.Now() }
 
 // Since returns the time since a moment of the clock.
 func (c Clock) Since(t time.Time) time.Duration { return c().Sub(t) }
 
-// Machine returns a clock that counts the time in which the machine is suspended, from now on, and
+// BootTime returns a clock that counts the time in which the machine is suspended, from now on, and
 // whether the system has one. Without one it is [Steady].
 //
 // Within a millisecond the time suspended is read once, by three calls to the system (0.7 µs); other
-// readings cost what those of [time.Now] do and a little (0.1 µs, BenchmarkMachine). A process may be
+// readings cost what those of [time.Now] do and a little (0.1 µs, BenchmarkBootTime). A process may be
 // suspended between a look at any clock and what it does then, so a millisecond adds nothing to that.
-func Machine() (c Clock, counts bool) {
-	begun, ok := ahead()
+func BootTime() (c Clock, countsSuspension bool) {
+	initialOffset, ok := suspendedSinceBoot()
 	if !ok {
-		return Steady, false
+		return Monotonic, false
 	}
-	return newMachine(begun).now, true
+	return newBootClock(initialOffset).now, true
 }
 
-// machine is the clock of the machine. How far the clock that counts suspended time is ahead of the
+// bootClock is the clock of the machine. How far the clock that counts suspended time is ahead of the
 // one that does not is the time suspended since the machine's start.
-type machine struct {
-	begun time.Duration
+type bootClock struct {
+	initialOffset time.Duration
 	// suspended is the longest time suspended that was read, in nanoseconds. It never falls: two
 	// readings are not taken at one moment, so that it may seem to by some microseconds.
 	suspended atomic.Int64
-	// readAt is when it was read, in nanoseconds of the steady clock since base.
-	readAt atomic.Int64
-	base   time.Time
+	// refreshedAt is when it was read, in nanoseconds of the steady clock since base.
+	refreshedAt atomic.Int64
+	base        time.Time
 }
 
-// readEvery is the least time between two readings of the time suspended.
-const readEvery = time.Millisecond
+// refreshInterval is the least time between two readings of the time suspended.
+const refreshInterval = time.Millisecond
 
-func newMachine(begun time.Duration) *machine {
-	m := &machine{begun: begun, base: time.Now()}
-	m.readAt.Store(int64(-readEvery))
+func newBootClock(initialOffset time.Duration) *bootClock {
+	m := &bootClock{initialOffset: initialOffset, base: time.Now()}
+	m.refreshedAt.Store(int64(-refreshInterval))
 	return m
 }
 
-func (m *machine) now() time.Time {
+func (m *bootClock) now() time.Time {
 	now := time.Now()
 	since := int64(now.Sub(m.base))
-	if read := m.readAt.Load(); since-read >= int64(readEvery) && m.readAt.CompareAndSwap(read, since) {
-		m.read()
+	if refreshed := m.refreshedAt.Load(); since-refreshed >= int64(refreshInterval) && m.refreshedAt.CompareAndSwap(refreshed, since) {
+		m.refresh()
 	}
 	return now.Add(time.Duration(m.suspended.Load()))
 }
 
-func (m *machine) read() {
-	d, ok := ahead()
-	if !ok || d-m.begun < grain {
+func (m *bootClock) refresh() {
+	d, ok := suspendedSinceBoot()
+	if !ok || d-m.initialOffset < minSuspension {
 		return
 	}
 	for {
 		known := m.suspended.Load()
-		if int64(d-m.begun) <= known || m.suspended.CompareAndSwap(known, int64(d-m.begun)) {
+		if int64(d-m.initialOffset) <= known || m.suspended.CompareAndSwap(known, int64(d-m.initialOffset)) {
 			return
 		}
 	}
 }
 
-// grain is the least time suspended that counts: between two readings the process may
+// minSuspension is the least time suspended that counts: between two readings the process may
 // be put aside, which is no suspension.
-const grain = 20 * time.Millisecond
+const minSuspension = 20 * time.Millisecond
 
-// ahead returns how far the clock that counts suspended time is ahead of the steady one. It
+// suspendedSinceBoot returns how far the clock that counts suspended time is ahead of the steady one. It
 // reads the steady one on both sides of it, and passes over a reading that was interrupted.
-func ahead() (d time.Duration, ok bool) {
-	for range readTries {
-		before, ok := read(unix.CLOCK_MONOTONIC)
-		boot, okBoot := read(unix.CLOCK_BOOTTIME)
+func suspendedSinceBoot() (d time.Duration, ok bool) {
+	for range maxReadAttempts {
+		before, ok := readClock(unix.CLOCK_MONOTONIC)
+		boot, okBoot := readClock(unix.CLOCK_BOOTTIME)
 		if !ok || !okBoot {
 			return 0, false
 		}
-		after, ok := read(unix.CLOCK_MONOTONIC)
+		after, ok := readClock(unix.CLOCK_MONOTONIC)
 		if !ok {
 			return 0, false
 		}
-		if after-before < grain/2 {
+		if after-before < minSuspension/2 {
 			return boot - before, true
 		}
 	}
 	return 0, false
 }
 
-// readTries is how often a reading that was interrupted is taken again.
-const readTries = 3
+// maxReadAttempts is how often a reading that was interrupted is taken again.
+const maxReadAttempts = 3
 
-func read(id int32) (time.Duration, bool) {
+func readClock(id int32) (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, false
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,8 +8,8 @@
 )
 
 // While the machine is not suspended its clock goes as the steady one does.
-func TestMachine(t *testing.T) {
-	c, counts := Machine()
+func TestBootTime(t *testing.T) {
+	c, counts := BootTime()
 	require.True(t, counts)
 	begun, steady := c(), time.Now()
 	time.Sleep(30 * time.Millisecond)
@@ -18,20 +18,20 @@
 
 // Time that the machine was suspended counts once it is long enough to be no accident of
 // reading, and never goes back.
-func TestMachineSuspended(t *testing.T) {
-	now, ok := ahead()
+func TestBootTimeSuspended(t *testing.T) {
+	now, ok := suspendedSinceBoot()
 	require.True(t, ok)
-	m := newMachine(now - 5*time.Second)
+	m := newBootClock(now - 5*time.Second)
 	require.InDelta(t, 5*time.Second, time.Until(m.now()), float64(10*time.Millisecond))
-	m.begun += 3 * time.Second
-	time.Sleep(readEvery)
+	m.initialOffset += 3 * time.Second
+	time.Sleep(refreshInterval)
 	require.InDelta(t, 5*time.Second, time.Until(m.now()), float64(10*time.Millisecond))
-	m = newMachine(now - grain/2)
+	m = newBootClock(now - minSuspension/2)
 	require.InDelta(t, 0, time.Until(m.now()), float64(5*time.Millisecond))
 }
 
-func BenchmarkMachine(b *testing.B) {
-	c, _ := Machine()
+func BenchmarkBootTime(b *testing.B) {
+	c, _ := BootTime()
 	for b.Loop() {
 		c()
 	}
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -14,20 +14,20 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Door is an open listening address with what serves it.
-type Door struct {
+// Listener is an open listening address with what serves it.
+type Listener struct {
 	// Serve serves until the door is closed.
 	Serve func() error
 	Close func()
 }
 
-// Open opens doors, all of them or none.
-func Open(openers ...func() (Door, error)) ([]Door, error) {
-	var doors []Door
+// OpenAll opens doors, all of them or none.
+func OpenAll(openers ...func() (Listener, error)) ([]Listener, error) {
+	var doors []Listener
 	for _, open := range openers {
 		d, err := open()
 		if err != nil {
-			Close(doors)
+			CloseAll(doors)
 			return nil, err
 		}
 		doors = append(doors, d)
@@ -35,8 +35,8 @@
 	return doors, nil
 }
 
-// Close closes doors.
-func Close(doors []Door) {
+// CloseAll closes doors.
+func CloseAll(doors []Listener) {
 	for _, d := range doors {
 		d.Close()
 	}
@@ -45,9 +45,9 @@
 // Option changes a door.
 type Option func(net.Listener) net.Listener
 
-// WithConns sets a function that gets each connection before it is served, and
+// WithConnWrapper sets a function that gets each connection before it is served, and
 // returns the one to serve in its place.
-func WithConns(wrap func(net.Conn) net.Conn) Option {
+func WithConnWrapper(wrap func(net.Conn) net.Conn) Option {
 	return func(l net.Listener) net.Listener { return wrappingListener{l, wrap} }
 }
 
@@ -82,10 +82,10 @@
 
 // HTTP opens a door for a server; cfg is nil for plain TCP. What the server has to
 // say of callers' connections goes to the log at debug level.
-func HTTP(addr netip.AddrPort, s *http.Server, cfg *tls.Config, log *slog.Logger, opts ...Option) (Door, error) {
+func HTTP(addr netip.AddrPort, s *http.Server, cfg *tls.Config, log *slog.Logger, opts ...Option) (Listener, error) {
 	l, err := Listen(addr, cfg, opts...)
 	if err != nil {
-		return Door{}, err
+		return Listener{}, err
 	}
 	s.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelDebug)
 	serve := func() error {
@@ -94,7 +94,7 @@
 		}
 		return nil
 	}
-	return Door{Serve: serve, Close: func() { s.Close() }}, nil
+	return Listener{Serve: serve, Close: func() { s.Close() }}, nil
 }
 
 // WriteJSON answers with a value as JSON and its length, so that a cut answer is
--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -145,7 +145,7 @@
 				// A caller that leaves in the middle gives its connections back for reuse.
 				time.AfterFunc(15*time.Millisecond, cancel)
 			}
-			r := c.Ask(ctx, question("formosa-air", "rules", fmt.Sprint(i), 12))
+			r := c.Do(ctx, question("formosa-air", "rules", fmt.Sprint(i), 12))
 			if r.Wrong {
 				t.Errorf("request %s got another's answer: %q", r.Request, r.Text)
 			}
@@ -162,8 +162,8 @@
 func TestAnswerOfAnotherIsDropped(t *testing.T) {
 	t.Parallel()
 	cases := map[string]standin.Faults{
-		"another incarnation": {Pose: standin.PoseIncarnation},
-		"other weights":       {Pose: standin.PoseWeights},
+		"another incarnation": {Misreport: standin.MisreportIncarnation},
+		"other weights":       {Misreport: standin.MisreportWeights},
 		"another attempt":     {CrossReplies: true},
 	}
 	for name, fault := range cases {
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -444,9 +444,9 @@
 	return load.Arrival{
 		Org: org, Model: "desk-7b", MaxTokens: tokens,
 		Messages: []load.Message{
-			{Role: "system", Content: load.Text("preamble", 128)},
-			{Role: "system", Content: load.Text(topic, 512)},
-			{Role: "user", Content: load.Text(own, 32)},
+			{Role: "system", Content: load.FillerText("preamble", 128)},
+			{Role: "system", Content: load.FillerText(topic, 512)},
+			{Role: "user", Content: load.FillerText(own, 32)},
 		},
 	}
 }
@@ -454,7 +454,7 @@
 func (s *system) ask(c *load.Client, a load.Arrival) load.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return c.Ask(ctx, a)
+	return c.Do(ctx, a)
 }
 
 // during calls f with rising n, over and over in each of some goroutines, until stop is called.
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -175,7 +175,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.client(s.routers[0]).Ask(ctx, question("formosa-air", "t", "x", 4000))
+		s.client(s.routers[0]).Do(ctx, question("formosa-air", "t", "x", 4000))
 	}()
 	s.eventually(func() bool { runs := s.allRuns(); return len(runs) == 1 && runs[0].Emitted > 3 }, "the answer began")
 	cancel()
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -48,19 +48,19 @@
 // Client sends requests as callers behind a balancer do: to the doors in turn,
 // passing over those that refuse the connection.
 type Client struct {
-	doors   []netip.AddrPort
-	http    *http.Client
-	next    atomic.Uint64
-	weights string
-	retries int
+	addrs    []netip.AddrPort
+	http     *http.Client
+	nextAddr atomic.Uint64
+	weights  string
+	retries  int
 }
 
 // NewClient returns a client of the doors. Weights, if not empty, are those whose
 // answers are right; retries is how often a refused request is sent again after
 // the time it was told.
-func NewClient(doors []netip.AddrPort, weights string, retries int) *Client {
+func NewClient(addrs []netip.AddrPort, weights string, retries int) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}
-	return &Client{doors: doors, http: &http.Client{Transport: t}, weights: weights, retries: retries}
+	return &Client{addrs: addrs, http: &http.Client{Transport: t}, weights: weights, retries: retries}
 }
 
 // Close ends idle connections.
@@ -69,14 +69,14 @@
 // Play sends the arrivals when they are due and returns what became of each.
 func (c *Client) Play(ctx context.Context, arrivals []Arrival) []Result {
 	results := make([]Result, len(arrivals))
-	begun := time.Now()
+	started := time.Now()
 	var wg sync.WaitGroup
 	for i, a := range arrivals {
-		if !sleepUntil(ctx, begun.Add(a.Due)) {
+		if !sleepUntil(ctx, started.Add(a.Due)) {
 			break
 		}
 		wg.Go(func() {
-			results[i] = c.Ask(ctx, a)
+			results[i] = c.Do(ctx, a)
 			results[i].Due = a.Due
 		})
 	}
@@ -99,11 +99,11 @@
 	}
 }
 
-// Ask sends one request as a stream and reads its answer to the end.
-func (c *Client) Ask(ctx context.Context, a Arrival) Result {
-	begun := time.Now()
+// Do sends one request as a stream and reads its answer to the end.
+func (c *Client) Do(ctx context.Context, a Arrival) Result {
+	started := time.Now()
 	for try := 0; ; try++ {
-		r := c.once(ctx, a, begun)
+		r := c.attempt(ctx, a, started)
 		wait, again := retryAfter(r)
 		if !again || try >= c.retries {
 			return r
@@ -122,13 +122,13 @@
 	return time.Second, true
 }
 
-func (c *Client) once(ctx context.Context, a Arrival, begun time.Time) Result {
+func (c *Client) attempt(ctx context.Context, a Arrival, started time.Time) Result {
 	out := Result{Org: a.Org}
 	resp, err := c.send(ctx, a)
 	if err != nil {
 		out.Cut = true
 		out.Code = "unreachable"
-		out.Total = time.Since(begun)
+		out.Total = time.Since(started)
 		return out
 	}
 	defer resp.Body.Close()
@@ -138,10 +138,10 @@
 	if resp.StatusCode != http.StatusOK {
 		out.Code = errorCode(resp.Body)
 	} else {
-		c.read(resp.Body, &out, begun)
-		c.judge(a, &out)
+		c.readStream(resp.Body, &out, started)
+		c.checkAnswer(a, &out)
 	}
-	out.Total = time.Since(begun)
+	out.Total = time.Since(started)
 	return out
 }
 
@@ -167,11 +167,11 @@
 	if err != nil {
 		return nil, err
 	}
-	first := c.next.Add(1)
-	for i := range c.doors {
-		door := c.doors[(int(first)+i)%len(c.doors)]
+	first := c.nextAddr.Add(1)
+	for i := range c.addrs {
+		addr := c.addrs[(int(first)+i)%len(c.addrs)]
 		var resp *http.Response
-		resp, err = c.post(ctx, door, a.Org, body)
+		resp, err = c.post(ctx, addr, a.Org, body)
 		if err == nil {
 			return resp, nil
 		}
@@ -182,19 +182,19 @@
 	return nil, err
 }
 
-func (c *Client) post(ctx context.Context, door netip.AddrPort, org string, body []byte) (*http.Response, error) {
-	url := "http://" + door.String() + "/v1/chat/completions"
+func (c *Client) post(ctx context.Context, addr netip.AddrPort, org string, body []byte) (*http.Response, error) {
+	url := "http://" + addr.String() + "/v1/chat/completions"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+Org{Name: org}.Key())
+	req.Header.Set("Authorization", "Bearer "+Org{Name: org}.APIKey())
 	req.Header.Set("Content-Type", "application/json")
 	return c.http.Do(req)
 }
 
-// read takes the chunks of an answer; without the finish mark it is cut.
-func (c *Client) read(body io.Reader, out *Result, begun time.Time) {
+// readStream takes the chunks of an answer; without the finish mark it is cut.
+func (c *Client) readStream(body io.Reader, out *Result, started time.Time) {
 	in := wire.NewEventReader(body)
 	var text strings.Builder
 	for {
@@ -210,7 +210,7 @@
 			break
 		}
 		if chunk.Text != "" && out.FirstToken == 0 {
-			out.FirstToken = time.Since(begun)
+			out.FirstToken = time.Since(started)
 		}
 		text.WriteString(chunk.Text)
 		if u := chunk.Usage; u != nil {
@@ -220,13 +220,13 @@
 	out.Text = text.String()
 }
 
-// judge compares an answer with the one that the stand-in engines give.
-func (c *Client) judge(a Arrival, out *Result) {
+// checkAnswer compares an answer with the one that the stand-in engines give.
+func (c *Client) checkAnswer(a Arrival, out *Result) {
 	if c.weights == "" || out.Cut {
 		return
 	}
-	right := standin.Answer(a.Text(), c.weights, a.MaxTokens)
-	out.Wrong = out.Text != right
+	want := standin.Answer(a.Text(), c.weights, a.MaxTokens)
+	out.Wrong = out.Text != want
 }
 
 // Text returns the prompt as engines read it.
@@ -240,12 +240,12 @@
 }
 
 // Call posts a keyed call to a plain service and returns a line about its answer.
-func Call(ctx context.Context, door netip.AddrPort, org Org, path, key string) (string, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+door.String()+path, strings.NewReader(`{"demo":true}`))
+func Call(ctx context.Context, addr netip.AddrPort, org Org, path, key string) (string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+path, strings.NewReader(`{"demo":true}`))
 	if err != nil {
 		return "", err
 	}
-	req.Header.Set("Authorization", "Bearer "+org.Key())
+	req.Header.Set("Authorization", "Bearer "+org.APIKey())
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(wire.HeaderKey, key)
 	resp, err := http.DefaultClient.Do(req)
@@ -303,13 +303,13 @@
 		a := arrivals[i%len(arrivals)]
 		a.MaxTokens = 1
 		for side, c := range clients {
-			r := c.Ask(ctx, a)
+			r := c.Do(ctx, a)
 			if !r.OK() {
 				return direct, routed, fmt.Errorf("side %d: %+v", side, r)
 			}
 			record(hists[side], r.FirstToken)
 		}
 	}
-	of := func(h *hdrhistogram.Histogram) Quantiles { return Quantiles{ms(h, 50), ms(h, 99)} }
-	return of(hists[0]), of(hists[1]), nil
+	quantiles := func(h *hdrhistogram.Histogram) Quantiles { return Quantiles{ms(h, 50), ms(h, 99)} }
+	return quantiles(hists[0]), quantiles(hists[1]), nil
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -52,8 +52,8 @@
 	p.Y.Min = 0
 	var values plotter.Values
 	var labels []string
-	for _, g := range groups(reports) {
-		_, mid, _ := spread(g, func(r Report) float64 { return r.TTFT99 })
+	for _, g := range groupByLabel(reports) {
+		_, mid, _ := minMedianMax(g, func(r Report) float64 { return r.TTFT99 })
 		values = append(values, mid)
 		labels = append(labels, g[0].Label)
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -69,12 +69,12 @@
 	results = slices.DeleteFunc(slices.Clone(results), func(r Result) bool { return r.Due < skip })
 	rep := Report{Label: label, Workload: w.Name, Seed: seed, Requests: len(results), Codes: make(map[string]int)}
 	ttft, total, refusal := newHist(), newHist(), newHist()
-	orgs := make(map[string]*orgSum)
+	orgs := make(map[string]*orgTotals)
 	var prompt, cached int64
 	for _, r := range results {
 		o, ok := orgs[r.Org]
 		if !ok {
-			o = &orgSum{OrgReport: OrgReport{Org: r.Org}, ttft: newHist()}
+			o = &orgTotals{OrgReport: OrgReport{Org: r.Org}, ttft: newHist()}
 			orgs[r.Org] = o
 		}
 		o.Requests++
@@ -94,7 +94,7 @@
 	}
 	rep.TTFT50, rep.TTFT95, rep.TTFT99 = ms(ttft, 50), ms(ttft, 95), ms(ttft, 99)
 	rep.Total99, rep.Refusal99 = ms(total, 99), ms(refusal, 99)
-	bound, all := Bound(arrivals, skip)
+	bound, all := IdealCacheHits(arrivals, skip)
 	if prompt > 0 {
 		rep.HitRate = float64(cached) / float64(prompt)
 		rep.Bound = float64(bound) / float64(all)
@@ -104,7 +104,7 @@
 	return rep
 }
 
-type orgSum struct {
+type orgTotals struct {
 	OrgReport
 	ttft *hdrhistogram.Histogram
 }
@@ -125,7 +125,7 @@
 	}
 }
 
-func (rep *Report) addOrgs(orgs map[string]*orgSum) {
+func (rep *Report) addOrgs(orgs map[string]*orgTotals) {
 	for _, name := range slices.Sorted(maps.Keys(orgs)) {
 		o := orgs[name]
 		o.TTFT50, o.TTFT99 = ms(o.ttft, 50), ms(o.ttft, 99)
@@ -133,10 +133,10 @@
 	}
 }
 
-// Bound returns, of the requests due at skip or later, the prompt tokens that one
+// IdealCacheHits returns, of the requests due at skip or later, the prompt tokens that one
 // cache which forgets nothing and saw all arrivals would answer from, and all
 // prompt tokens.
-func Bound(arrivals []Arrival, skip time.Duration) (cached, all int64) {
+func IdealCacheHits(arrivals []Arrival, skip time.Duration) (cached, all int64) {
 	seen := make(map[route.Block]bool)
 	for _, a := range arrivals {
 		text := a.Text()
@@ -158,14 +158,14 @@
 func Markdown(w io.Writer, reports []Report) error {
 	fmt.Fprintln(w, "| policy | runs | answered | TTFT p50 ms | TTFT p99 ms (range) | hit rate | of bound | wasted tokens (range) | cut | wrong |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|")
-	for _, group := range groups(reports) {
-		pick := func(f func(Report) float64) (lo, mid, hi float64) { return spread(group, f) }
-		_, answered, _ := pick(func(r Report) float64 { return float64(r.Answered) / float64(max(1, r.Requests)) })
-		_, p50, _ := pick(func(r Report) float64 { return r.TTFT50 })
-		lo99, p99, hi99 := pick(func(r Report) float64 { return r.TTFT99 })
-		_, hit, _ := pick(func(r Report) float64 { return r.HitRate })
-		_, of, _ := pick(func(r Report) float64 { return r.HitRate / max(r.Bound, 1e-9) })
-		loW, wasted, hiW := pick(func(r Report) float64 { return float64(r.Wasted) })
+	for _, group := range groupByLabel(reports) {
+		stat := func(f func(Report) float64) (lo, mid, hi float64) { return minMedianMax(group, f) }
+		_, answered, _ := stat(func(r Report) float64 { return float64(r.Answered) / float64(max(1, r.Requests)) })
+		_, p50, _ := stat(func(r Report) float64 { return r.TTFT50 })
+		lo99, p99, hi99 := stat(func(r Report) float64 { return r.TTFT99 })
+		_, hit, _ := stat(func(r Report) float64 { return r.HitRate })
+		_, of, _ := stat(func(r Report) float64 { return r.HitRate / max(r.Bound, 1e-9) })
+		loW, wasted, hiW := stat(func(r Report) float64 { return float64(r.Wasted) })
 		cut, wrong := 0, 0
 		for _, r := range group {
 			cut += r.Cut
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// groups gathers the reports of each label, in the order the labels first come.
-func groups(reports []Report) [][]Report {
+// groupByLabel gathers the reports of each label, in the order the labels first come.
+func groupByLabel(reports []Report) [][]Report {
 	var out [][]Report
 	at := make(map[string]int)
 	for _, r := range reports {
@@ -196,7 +196,7 @@
 	return out
 }
 
-func spread(reports []Report, f func(Report) float64) (lo, mid, hi float64) {
+func minMedianMax(reports []Report, f func(Report) float64) (lo, mid, hi float64) {
 	values := make([]float64, 0, len(reports))
 	for _, r := range reports {
 		values = append(values, f(r))
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -35,8 +35,8 @@
 	Subtopics int
 }
 
-// Key returns the organisation's API key in the example configurations.
-func (o Org) Key() string { return "demo-" + o.Name }
+// APIKey returns the organisation's API key in the example configurations.
+func (o Org) APIKey() string { return "demo-" + o.Name }
 
 // Workload describes requests whose prompts nest: preamble, topic, subtopic, case.
 type Workload struct {
@@ -93,7 +93,7 @@
 		"formosa-air", "jade-wings", "strait-shuttle", "penghu-air",
 		"kinmen-link", "alishan-air", "taitung-hop", "matsu-ferry-air",
 	} {
-		w.Orgs = append(w.Orgs, orgOf(name, i, scale, 6, 8))
+		w.Orgs = append(w.Orgs, newOrg(name, i, scale, 6, 8))
 	}
 	return w
 }
@@ -108,7 +108,7 @@
 		"harrogate-studios", "leeds-strings", "york-keys", "ripon-brass",
 		"whitby-voices", "selby-winds", "skipton-guitars", "malton-harps",
 	} {
-		w.Orgs = append(w.Orgs, orgOf(name, i, scale, 5, 12))
+		w.Orgs = append(w.Orgs, newOrg(name, i, scale, 5, 12))
 	}
 	return w
 }
@@ -116,7 +116,7 @@
 // largeOrgs is how many of the eight organisations are large.
 const largeOrgs = 3
 
-func orgOf(name string, i int, scale float64, topics, subtopics int) Org {
+func newOrg(name string, i int, scale float64, topics, subtopics int) Org {
 	o := Org{Name: name, Rate: 4 * scale, Topics: topics / 2, Subtopics: subtopics / 2}
 	if i < largeOrgs {
 		o.Rate, o.Topics, o.Subtopics = 18*scale, topics, subtopics
@@ -183,18 +183,18 @@
 	return Arrival{
 		Due: due, Org: o.Name, Model: w.Model, MaxTokens: w.MaxTokens,
 		Messages: []Message{
-			{"system", Text("preamble of "+w.Name, w.Preamble)},
-			{"system", Text(fmt.Sprintf("rules %d of %s", topic, o.Name), w.Topic)},
-			{"system", Text(fmt.Sprintf("route %d.%d of %s", topic, sub, o.Name), w.Subtopic)},
-			{"user", Text(fmt.Sprintf("case %d", rng.Uint64()), w.Case)},
+			{"system", FillerText("preamble of "+w.Name, w.Preamble)},
+			{"system", FillerText(fmt.Sprintf("rules %d of %s", topic, o.Name), w.Topic)},
+			{"system", FillerText(fmt.Sprintf("route %d.%d of %s", topic, sub, o.Name), w.Subtopic)},
+			{"user", FillerText(fmt.Sprintf("case %d", rng.Uint64()), w.Case)},
 		},
 	}
 }
 
 var words = strings.Fields("fare seat route child bag miles change fee night gate line stop note scale bow key hand time play hear")
 
-// Text returns about n tokens of text that its title alone decides.
-func Text(title string, n int) string {
+// FillerText returns about n tokens of text that its title alone decides.
+func FillerText(title string, n int) string {
 	var b strings.Builder
 	b.WriteString(title)
 	b.WriteString(": ")
--- a/internal/programs/programs.go
+++ b/internal/programs/programs.go
@@ -19,13 +19,13 @@
 	if *dir = os.Getenv(envDir); *dir != "" {
 		return m.Run(), nil
 	}
-	made, err := os.MkdirTemp("", "pathhead")
+	tempDir, err := os.MkdirTemp("", "pathhead")
 	if err != nil {
 		return 1, errs.Wrap(err)
 	}
-	defer os.RemoveAll(made)
-	*dir = made
-	build := exec.Command("go", append([]string{"build", "-o", made}, packages...)...)
+	defer os.RemoveAll(tempDir)
+	*dir = tempDir
+	build := exec.Command("go", append([]string{"build", "-o", tempDir}, packages...)...)
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		return 1, errs.Errorf("building %v: %w", packages, err)
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -82,7 +82,7 @@
 		heap.Remove(&b.waiting, w.index)
 		return ctx.Err()
 	}
-	b.handOver()
+	b.releaseLocked()
 	return ctx.Err()
 }
 
@@ -90,10 +90,10 @@
 func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.handOver()
+	b.releaseLocked()
 }
 
-func (b *batch) handOver() {
+func (b *batch) releaseLocked() {
 	if len(b.waiting) == 0 {
 		b.running--
 		return
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -30,10 +30,10 @@
 	order  *list.List
 }
 
-// cached is a block and the request that filled it.
-type cached struct {
-	block route.Block
-	owner string
+// cacheEntry is a block and the request that filled it.
+type cacheEntry struct {
+	block    route.Block
+	filledBy string
 }
 
 func newBlockCache(limit int, emit func(string, route.Block)) *blockCache {
@@ -56,7 +56,7 @@
 			break
 		}
 		n++
-		if owner := el.Value.(*cached).owner; !seen[owner] {
+		if owner := el.Value.(*cacheEntry).filledBy; !seen[owner] {
 			seen[owner] = true
 			owners = append(owners, owner)
 		}
@@ -82,12 +82,12 @@
 			c.order.MoveToFront(el)
 			continue
 		}
-		c.blocks[b] = c.order.PushFront(&cached{block: b, owner: owner})
+		c.blocks[b] = c.order.PushFront(&cacheEntry{block: b, filledBy: owner})
 		c.emit(opStore, b)
 	}
 	for c.order.Len() > c.limit {
 		el := c.order.Back()
-		b := el.Value.(*cached).block
+		b := el.Value.(*cacheEntry).block
 		c.order.Remove(el)
 		delete(c.blocks, b)
 		c.emit(opEvict, b)
@@ -101,8 +101,8 @@
 	return c.order.Len()
 }
 
-// holds returns which of the given blocks are held.
-func (c *blockCache) holds(blocks []route.Block) []route.Block {
+// present returns which of the given blocks are held.
+func (c *blockCache) present(blocks []route.Block) []route.Block {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []route.Block
--- a/internal/standin/complete.go
+++ b/internal/standin/complete.go
@@ -64,25 +64,25 @@
 // job is one request that passed the engine's checks.
 type job struct {
 	completion
-	chat    bool
-	text    []byte
-	weights string
-	request string
-	attempt string
-	update  func(func(*Run))
-	cached  int
+	chat         bool
+	text         []byte
+	weights      string
+	request      string
+	attempt      string
+	updateRun    func(func(*Run))
+	cachedTokens int
 }
 
 // complete serves one completion from its checks to its end.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request, chat bool) {
 	j := &job{chat: chat, request: r.Header.Get(wire.HeaderRequest), attempt: r.Header.Get(wire.HeaderAttempt)}
 	if err := json.NewDecoder(r.Body).Decode(&j.completion); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	text, err := j.completion.text(chat)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	j.text = text
@@ -90,24 +90,24 @@
 		j.MaxTokens = defaultMaxTokens
 	}
 	w.Header().Set(wire.HeaderIncarnation, e.incarnation)
-	if status, why := e.admit(j, r.Header); why != "" {
+	if status, reason := e.admit(j, r.Header); reason != "" {
 		if after := e.faults.get().RetryAfter; after != "" {
 			w.Header().Set("Retry-After", after)
 		}
-		refuse(w, status, why)
+		writeRefusal(w, status, reason)
 		return
 	}
 	e.run(w, r, j)
 }
 
-// refuse answers that the request did not run.
-func refuse(w http.ResponseWriter, status int, why string) {
+// writeRefusal answers that the request did not run.
+func writeRefusal(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(wire.HeaderRan, wire.RanNo)
-	writeJSON(w, status, map[string]any{"error": map[string]string{"message": why, "type": "not_run"}})
+	writeJSON(w, status, map[string]any{"error": map[string]string{"message": reason, "type": "not_run"}})
 }
 
 // admit checks what the router expects of the engine before anything runs.
-func (e *Engine) admit(j *job, h http.Header) (status int, why string) {
+func (e *Engine) admit(j *job, h http.Header) (status int, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	base, adapter, _ := strings.Cut(j.Model, ":")
@@ -116,21 +116,21 @@
 	switch {
 	case e.faults.get().RefuseAll:
 		return http.StatusServiceUnavailable, "told to refuse"
-	case e.leaving:
+	case e.draining:
 		return http.StatusServiceUnavailable, "leaving"
 	case !ok || (adapter != "" && !contains(m.Adapters, adapter)):
 		return http.StatusNotFound, "model not loaded"
 	case !e.cfg.ChecksExpect:
 		return 0, ""
-	case mismatch(h.Get(wire.HeaderIncarnation), e.incarnation):
+	case differs(h.Get(wire.HeaderIncarnation), e.incarnation):
 		return http.StatusPreconditionFailed, "incarnation is " + e.incarnation
-	case mismatch(h.Get(wire.HeaderWeights), m.Weights):
+	case differs(h.Get(wire.HeaderWeights), m.Weights):
 		return http.StatusPreconditionFailed, "weights are " + m.Weights
 	}
 	return 0, ""
 }
 
-func mismatch(want, have string) bool { return want != "" && want != have }
+func differs(want, have string) bool { return want != "" && want != have }
 
 func contains(list []string, s string) bool {
 	for _, v := range list {
@@ -152,7 +152,7 @@
 	if j.Resume != nil {
 		start = j.Resume.Tokens
 	}
-	j.update = e.runs.begin(Run{
+	j.updateRun = e.runs.start(Run{
 		Request: j.request, Attempt: j.attempt, Path: r.URL.Path, Salt: j.CacheSalt,
 		Incarnation: e.incarnation, Weights: j.weights, ResumedAt: start, Prompt: route.Tokens(len(j.text)),
 	})
@@ -169,9 +169,9 @@
 	}
 	e.events.Record(event.Event{
 		Code: code, Request: j.request, Attempt: j.attempt, Target: e.cfg.Name,
-		Detail: fmt.Sprintf("%d of %d prompt tokens cached", j.cached, route.Tokens(len(j.text))),
+		Detail: fmt.Sprintf("%d of %d prompt tokens cached", j.cachedTokens, route.Tokens(len(j.text))),
 	})
-	j.update(func(r *Run) {
+	j.updateRun(func(r *Run) {
 		r.State = state
 		r.End = time.Now().UTC()
 	})
@@ -191,10 +191,10 @@
 	}
 	chain := route.Chain(j.CacheSalt, text, route.BlockBytes, 1)
 	n, owners := e.cache.match(chain)
-	j.cached = n * route.BlockTokens
-	uncached := route.Tokens(len(text)) - j.cached
-	j.update(func(r *Run) {
-		r.Cached = j.cached
+	j.cachedTokens = n * route.BlockTokens
+	uncached := route.Tokens(len(text)) - j.cachedTokens
+	j.updateRun(func(r *Run) {
+		r.Cached = j.cachedTokens
 		r.UsedFrom = owners
 	})
 	if !sleep(ctx, time.Duration(float64(uncached)/e.cfg.PrefillRate*float64(time.Second))) {
@@ -213,7 +213,7 @@
 	w.Header().Set(wire.HeaderWeights, j.weights)
 	w.Header().Set(wire.HeaderRequest, j.request)
 	w.Header().Set(wire.HeaderAttempt, attempt)
-	e.pose(w.Header())
+	e.setMisreportedHeaders(w.Header())
 	out := &chunkWriter{w: w, job: j, attempt: attempt, faults: e.faults}
 	if j.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -222,20 +222,20 @@
 		if !sleep(ctx, e.cfg.DecodeTime) {
 			return false
 		}
-		j.update(func(r *Run) { r.Emitted++ })
-		if !out.token(Token(j.text, j.weights, i)) {
+		j.updateRun(func(r *Run) { r.Emitted++ })
+		if !out.writeToken(Token(j.text, j.weights, i)) {
 			return false
 		}
 	}
 	return out.finish(route.Tokens(len(j.text)), j.MaxTokens-start)
 }
 
-// pose makes the head of an answer say what [Faults.Pose] tells.
-func (e *Engine) pose(h http.Header) {
-	switch e.faults.get().Pose {
-	case PoseIncarnation:
+// setMisreportedHeaders makes the head of an answer say what [Faults.Pose] tells.
+func (e *Engine) setMisreportedHeaders(h http.Header) {
+	switch e.faults.get().Misreport {
+	case MisreportIncarnation:
 		h.Set(wire.HeaderIncarnation, "another-"+e.incarnation)
-	case PoseWeights:
+	case MisreportWeights:
 		h.Set(wire.HeaderWeights, "other-weights")
 	}
 }
@@ -245,18 +245,18 @@
 	w       http.ResponseWriter
 	job     *job
 	attempt string
-	faults  *faultBox
+	faults  *faultState
 	seq     int
-	held    []byte
+	swapped []byte
 	text    strings.Builder
 }
 
-func (c *chunkWriter) token(text string) bool {
+func (c *chunkWriter) writeToken(text string) bool {
 	if !c.job.Stream {
 		c.text.WriteString(text)
 		return true
 	}
-	return c.chunk(c.choice(text, nil), nil)
+	return c.writeChunk(c.choice(text, nil), nil)
 }
 
 func (c *chunkWriter) choice(text string, finish any) []any {
@@ -270,10 +270,10 @@
 	return []any{map[string]any{"index": 0, "text": text, "finish_reason": finish}}
 }
 
-// chunk writes one numbered event, or breaks, drops, repeats or swaps it as told.
-func (c *chunkWriter) chunk(choices []any, usage any) bool {
+// writeChunk writes one numbered event, or breaks, drops, repeats or swaps it as told.
+func (c *chunkWriter) writeChunk(choices []any, usage any) bool {
 	c.seq++
-	if c.faults.breakHere(c.seq) {
+	if c.faults.takeStreamBreak(c.seq) {
 		panic(http.ErrAbortHandler)
 	}
 	data, err := json.Marshal(c.body(choices, usage))
@@ -286,13 +286,13 @@
 	case f.DropAt:
 		return true
 	case f.SwapAt:
-		c.held = line
+		c.swapped = line
 		return true
 	case f.DupAt:
 		line = append(line, line...)
 	}
-	line = append(line, c.held...)
-	c.held = nil
+	line = append(line, c.swapped...)
+	c.swapped = nil
 	if _, err := c.w.Write(line); err != nil {
 		return false
 	}
@@ -316,23 +316,23 @@
 		"prompt_tokens":         prompt,
 		"completion_tokens":     generated,
 		"total_tokens":          prompt + generated,
-		"prompt_tokens_details": map[string]int{"cached_tokens": c.job.cached},
+		"prompt_tokens_details": map[string]int{"cached_tokens": c.job.cachedTokens},
 	}
 	if !c.job.Stream {
-		return c.whole(usage)
+		return c.writeBody(usage)
 	}
 	if c.faults.get().HideFinish {
 		return true
 	}
-	if !c.chunk(c.choice("", "stop"), nil) || !c.chunk([]any{}, usage) {
+	if !c.writeChunk(c.choice("", "stop"), nil) || !c.writeChunk([]any{}, usage) {
 		return false
 	}
 	_, err := io.WriteString(c.w, "data: [DONE]\n\n")
 	return err == nil
 }
 
-// whole writes the answer of a request that did not ask for a stream.
-func (c *chunkWriter) whole(usage any) bool {
+// writeBody writes the answer of a request that did not ask for a stream.
+func (c *chunkWriter) writeBody(usage any) bool {
 	body := c.body(nil, usage)
 	choice := map[string]any{"index": 0, "finish_reason": "stop"}
 	if c.job.chat {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -33,8 +33,8 @@
 	Seed          uint64
 }
 
-// loaded is a model that an engine serves.
-type loaded struct {
+// loadedModel is a model that an engine serves.
+type loadedModel struct {
 	Weights  string   `json:"weights"`
 	Adapters []string `json:"adapters,omitempty"`
 }
@@ -43,28 +43,28 @@
 type Engine struct {
 	cfg         EngineConfig
 	incarnation string
-	faults      *faultBox
+	faults      *faultState
 	batch       *batch
 	cache       *blockCache
 	runs        runLog
 	events      *event.Recorder
 
-	mu      sync.Mutex
-	models  map[string]loaded
-	loading int
-	role    string
-	leaving bool
-	fence   int64
-	orders  []orderRecord
-	reports []report
-	log     []loggedEvent
-	seq     int64
+	mu          sync.Mutex
+	models      map[string]loadedModel
+	loading     int
+	role        string
+	draining    bool
+	fence       int64
+	orders      []orderRecord
+	states      []engineState
+	cacheEvents []loggedEvent
+	seq         int64
 }
 
 // loggedEvent is a cache event and when it may be published.
 type loggedEvent struct {
 	cacheEvent
-	at time.Time
+	visibleAt time.Time
 }
 
 // NewEngine returns an engine with an empty cache and a new incarnation.
@@ -72,16 +72,16 @@
 	e := &Engine{
 		cfg:         cfg,
 		incarnation: strconv.FormatInt(time.Now().UnixNano(), 36),
-		faults:      newFaultBox(cfg.Seed),
+		faults:      newFaultState(cfg.Seed),
 		batch:       newBatch(cfg.Slots),
 		events:      rec,
-		models:      map[string]loaded{},
+		models:      map[string]loadedModel{},
 		role:        "serve",
 	}
 	if cfg.Model != "" {
-		e.models[cfg.Model] = loaded{Weights: cfg.Weights}
+		e.models[cfg.Model] = loadedModel{Weights: cfg.Weights}
 	}
-	e.faults.now.EventLoss = cfg.EventLoss
+	e.faults.current.EventLoss = cfg.EventLoss
 	e.cache = newBlockCache(cfg.CacheBlocks, e.emit)
 	return e
 }
@@ -91,16 +91,16 @@
 
 // emit numbers a cache event and, unless it is lost, keeps it for publication.
 func (e *Engine) emit(op string, b route.Block) {
-	lost := e.faults.chance(e.faults.get().EventLoss)
+	lost := e.faults.draw(e.faults.get().EventLoss)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.seq++
 	if lost {
 		return
 	}
-	e.log = append(e.log, loggedEvent{cacheEvent{e.seq, op, b}, time.Now().Add(e.cfg.EventLag)})
-	if len(e.log) > 2*maxLoggedEvents {
-		e.log = append(e.log[:0:0], e.log[len(e.log)-maxLoggedEvents:]...)
+	e.cacheEvents = append(e.cacheEvents, loggedEvent{cacheEvent{e.seq, op, b}, time.Now().Add(e.cfg.EventLag)})
+	if len(e.cacheEvents) > 2*maxLoggedEvents {
+		e.cacheEvents = append(e.cacheEvents[:0:0], e.cacheEvents[len(e.cacheEvents)-maxLoggedEvents:]...)
 	}
 }
 
@@ -110,7 +110,7 @@
 	mux.HandleFunc("/standin/faults", e.faults.handle)
 	mux.HandleFunc("GET /standin/runs", e.runs.handle)
 	mux.HandleFunc("GET /standin/orders", e.handleOrders)
-	mux.HandleFunc("POST /standin/leave", e.handleLeave)
+	mux.HandleFunc("POST /standin/leave", e.handleDrain)
 	mux.HandleFunc("GET /v1/events", eventsHandler(e.events))
 	api := http.NewServeMux()
 	api.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, true) })
@@ -124,21 +124,21 @@
 	return mux
 }
 
-// report is what an engine says of its load.
-type report struct {
-	at          time.Time
-	Incarnation string            `json:"incarnation"`
-	Models      map[string]loaded `json:"models"`
-	Role        string            `json:"role"`
-	Leaving     bool              `json:"leaving"`
-	Loading     int               `json:"loading"`
-	Running     int               `json:"running"`
-	Waiting     int               `json:"waiting"`
-	Blocks      int               `json:"blocks"`
-	CacheBlocks int               `json:"cacheBlocks"`
-	Slots       int               `json:"slots"`
-	PrefillRate float64           `json:"prefillRate"`
-	Fence       int64             `json:"fence"`
+// engineState is what an engine says of its load.
+type engineState struct {
+	takenAt     time.Time
+	Incarnation string                 `json:"incarnation"`
+	Models      map[string]loadedModel `json:"models"`
+	Role        string                 `json:"role"`
+	Draining    bool                   `json:"leaving"`
+	Loading     int                    `json:"loading"`
+	Running     int                    `json:"running"`
+	Waiting     int                    `json:"waiting"`
+	Blocks      int                    `json:"blocks"`
+	CacheBlocks int                    `json:"cacheBlocks"`
+	Slots       int                    `json:"slots"`
+	PrefillRate float64                `json:"prefillRate"`
+	Fence       int64                  `json:"fence"`
 }
 
 // handleState answers with the newest report at least ReportLag old; what the
@@ -147,12 +147,12 @@
 	running, waiting := e.batch.load()
 	size := e.cache.size()
 	e.mu.Lock()
-	now := report{
-		at:          time.Now(),
+	now := engineState{
+		takenAt:     time.Now(),
 		Incarnation: e.incarnation,
-		Models:      make(map[string]loaded, len(e.models)),
+		Models:      make(map[string]loadedModel, len(e.models)),
 		Role:        e.role,
-		Leaving:     e.leaving,
+		Draining:    e.draining,
 		Loading:     e.loading,
 		Running:     running,
 		Waiting:     waiting,
@@ -165,11 +165,11 @@
 	for m, l := range e.models {
 		now.Models[m] = l
 	}
-	e.reports = append(e.reports, now)
-	shown := e.reports[0]
-	for len(e.reports) > 1 && time.Since(e.reports[1].at) >= e.cfg.ReportLag {
-		e.reports = e.reports[1:]
-		shown = e.reports[0]
+	e.states = append(e.states, now)
+	shown := e.states[0]
+	for len(e.states) > 1 && time.Since(e.states[1].takenAt) >= e.cfg.ReportLag {
+		e.states = e.states[1:]
+		shown = e.states[0]
 	}
 	e.mu.Unlock()
 	now.Running, now.Waiting, now.Blocks = shown.Running, shown.Waiting, shown.Blocks
@@ -185,8 +185,8 @@
 	}{Incarnation: e.incarnation, Events: []cacheEvent{}}
 	now := time.Now()
 	e.mu.Lock()
-	for _, ev := range e.log {
-		if ev.Seq > after && !ev.at.After(now) {
+	for _, ev := range e.cacheEvents {
+		if ev.Seq > after && !ev.visibleAt.After(now) {
 			out.Events = append(out.Events, ev.cacheEvent)
 		}
 	}
@@ -198,21 +198,21 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// handleLeave makes the engine say that it leaves and refuse new requests.
-func (e *Engine) handleLeave(w http.ResponseWriter, _ *http.Request) {
-	e.Leave()
+// handleDrain makes the engine say that it leaves and refuse new requests.
+func (e *Engine) handleDrain(w http.ResponseWriter, _ *http.Request) {
+	e.Drain()
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// Leave begins a planned stop: requests that run go on, new ones are refused.
-func (e *Engine) Leave() {
+// Drain begins a planned stop: requests that run go on, new ones are refused.
+func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = true
+	e.draining = true
 }
 
-// Drained waits until nothing runs or the context ends.
-func (e *Engine) Drained(ctx context.Context) {
+// WaitIdle waits until nothing runs or the context ends.
+func (e *Engine) WaitIdle(ctx context.Context) {
 	for {
 		running, waiting := e.batch.load()
 		if running+waiting == 0 || !sleep(ctx, 10*time.Millisecond) {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -29,7 +29,7 @@
 	// Pose makes answers say that they come from another incarnation ("incarnation")
 	// or from other weights ("weights"), as those of an engine do that changed after
 	// it was last asked and checks nothing.
-	Pose string `json:"pose"`
+	Misreport string `json:"pose"`
 	// EventLoss is the share of cache events lost, from 0 to 1.
 	EventLoss float64 `json:"eventLoss"`
 	// RefuseAll answers every request with a refusal before running.
@@ -46,69 +46,69 @@
 
 // The things that [Faults.Pose] names.
 const (
-	PoseIncarnation = "incarnation"
-	PoseWeights     = "weights"
+	MisreportIncarnation = "incarnation"
+	MisreportWeights     = "weights"
 )
 
-// faultBox holds the current faults and the seeded source of random ones.
-type faultBox struct {
-	mu  sync.Mutex
-	now Faults
-	rng *rand.Rand
+// faultState holds the current faults and the seeded source of random ones.
+type faultState struct {
+	mu      sync.Mutex
+	current Faults
+	rng     *rand.Rand
 }
 
-func newFaultBox(seed uint64) *faultBox {
-	return &faultBox{rng: rand.New(rand.NewPCG(seed, seed))}
+func newFaultState(seed uint64) *faultState {
+	return &faultState{rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultState) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now
+	return b.current
 }
 
-func (b *faultBox) set(f Faults) {
+func (b *faultState) set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.now = f
+	b.current = f
 }
 
-// loseReply takes one of the replies that are to be lost.
-func (b *faultBox) loseReply() bool {
+// takeLostReply takes one of the replies that are to be lost.
+func (b *faultState) takeLostReply() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.now.LoseReplies == 0 {
+	if b.current.LoseReplies == 0 {
 		return false
 	}
-	b.now.LoseReplies--
+	b.current.LoseReplies--
 	return true
 }
 
-// breakHere reports whether a stream is to be broken before chunk n.
-func (b *faultBox) breakHere(n int) bool {
+// takeStreamBreak reports whether a stream is to be broken before chunk n.
+func (b *faultState) takeStreamBreak(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.now.BreakAt == 0 || n != b.now.BreakAt {
+	if b.current.BreakAt == 0 || n != b.current.BreakAt {
 		return false
 	}
-	if b.now.BreakCount > 0 {
-		b.now.BreakCount--
-		if b.now.BreakCount == 0 {
-			b.now.BreakAt = 0
+	if b.current.BreakCount > 0 {
+		b.current.BreakCount--
+		if b.current.BreakCount == 0 {
+			b.current.BreakAt = 0
 		}
 	}
 	return true
 }
 
-// chance draws from the seeded source.
-func (b *faultBox) chance(p float64) bool {
+// draw draws from the seeded source.
+func (b *faultState) draw(p float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return p > 0 && b.rng.Float64() < p
 }
 
 // handle serves GET and POST /standin/faults.
-func (b *faultBox) handle(w http.ResponseWriter, r *http.Request) {
+func (b *faultState) handle(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var f Faults
 		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -121,7 +121,7 @@
 }
 
 // wrap applies the faults that any service can have to a handler.
-func (b *faultBox) wrap(next http.Handler) http.Handler {
+func (b *faultState) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := b.get()
 		if f.Down {
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -14,7 +14,7 @@
 	wire.Order
 	At       time.Time `json:"at"`
 	Accepted bool      `json:"accepted"`
-	Why      string    `json:"why,omitempty"`
+	Reason   string    `json:"why,omitempty"`
 }
 
 // handleOrders lists every order that arrived.
@@ -28,24 +28,24 @@
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o wire.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e.mu.Lock()
-	why := e.objection(o)
-	e.orders = append(e.orders, orderRecord{Order: o, At: time.Now().UTC(), Accepted: why == "", Why: why})
-	if why == "" {
+	reason := e.rejectionReason(o)
+	e.orders = append(e.orders, orderRecord{Order: o, At: time.Now().UTC(), Accepted: reason == "", Reason: reason})
+	if reason == "" {
 		e.apply(o)
 	}
 	e.mu.Unlock()
-	if why != "" {
-		refuse(w, http.StatusConflict, why)
+	if reason != "" {
+		writeRefusal(w, http.StatusConflict, reason)
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (e *Engine) objection(o wire.Order) string {
+func (e *Engine) rejectionReason(o wire.Order) string {
 	switch {
 	case e.cfg.ChecksFencing && o.Fence < e.fence:
 		return "old fencing number"
@@ -74,13 +74,13 @@
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			e.loading--
-			e.models[o.Model] = loaded{Weights: o.Weights, Adapters: o.Adapters}
+			e.models[o.Model] = loadedModel{Weights: o.Weights, Adapters: o.Adapters}
 		})
 	}
 }
 
-// kvBlocks is an export of cache entries: their identities stand for their contents.
-type kvBlocks struct {
+// kvExport is an export of cache entries: their identities stand for their contents.
+type kvExport struct {
 	Blocks []route.Block `json:"blocks"`
 }
 
@@ -88,18 +88,18 @@
 const importSpeedup = 8
 
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
-	var in kvBlocks
+	var in kvExport
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	writeJSON(w, http.StatusOK, kvBlocks{Blocks: e.cache.holds(in.Blocks)})
+	writeJSON(w, http.StatusOK, kvExport{Blocks: e.cache.present(in.Blocks)})
 }
 
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
-	var in kvBlocks
+	var in kvExport
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	tokens := float64(len(in.Blocks) * route.BlockTokens)
--- a/internal/standin/runlog.go
+++ b/internal/standin/runlog.go
@@ -38,8 +38,8 @@
 	runs []*Run
 }
 
-// begin writes a run down and returns a function that changes it.
-func (l *runLog) begin(r Run) func(func(*Run)) {
+// start writes a run down and returns a function that changes it.
+func (l *runLog) start(r Run) func(func(*Run)) {
 	r.State = runRunning
 	r.Begin = time.Now().UTC()
 	l.mu.Lock()
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *runLog) all() []Run {
+func (l *runLog) snapshot() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Run, 0, len(l.runs))
@@ -64,5 +64,5 @@
 }
 
 func (l *runLog) handle(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, l.all())
+	writeJSON(w, http.StatusOK, l.snapshot())
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -23,12 +23,12 @@
 type Service struct {
 	cfg         ServiceConfig
 	incarnation string
-	faults      *faultBox
+	faults      *faultState
 	runs        runLog
 	events      *event.Recorder
 
-	mu      sync.Mutex
-	leaving bool
+	mu       sync.Mutex
+	draining bool
 }
 
 // NewService returns a service that has run nothing.
@@ -36,7 +36,7 @@
 	return &Service{
 		cfg:         cfg,
 		incarnation: strconv.FormatInt(time.Now().UnixNano(), 36),
-		faults:      newFaultBox(cfg.Seed),
+		faults:      newFaultState(cfg.Seed),
 		events:      rec,
 	}
 }
@@ -47,29 +47,29 @@
 	mux.HandleFunc("/standin/faults", s.faults.handle)
 	mux.HandleFunc("GET /standin/runs", s.runs.handle)
 	mux.HandleFunc("POST /standin/leave", func(w http.ResponseWriter, _ *http.Request) {
-		s.Leave()
+		s.Drain()
 		writeJSON(w, http.StatusOK, struct{}{})
 	})
 	mux.HandleFunc("GET /v1/events", eventsHandler(s.events))
-	mux.Handle("GET /engine/state", s.faults.wrap(http.HandlerFunc(s.state)))
-	mux.Handle("/", s.faults.wrap(http.HandlerFunc(s.call)))
+	mux.Handle("GET /engine/state", s.faults.wrap(http.HandlerFunc(s.handleState)))
+	mux.Handle("/", s.faults.wrap(http.HandlerFunc(s.handleCall)))
 	return mux
 }
 
-// Leave makes the service say that it leaves.
-func (s *Service) Leave() {
+// Drain makes the service say that it leaves.
+func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
-func (s *Service) state(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleState(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	writeJSON(w, http.StatusOK, report{Incarnation: s.incarnation, Leaving: s.leaving, Slots: 64})
+	writeJSON(w, http.StatusOK, engineState{Incarnation: s.incarnation, Draining: s.draining, Slots: 64})
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -79,11 +79,11 @@
 		if f.RetryAfter != "" {
 			w.Header().Set("Retry-After", f.RetryAfter)
 		}
-		refuse(w, http.StatusServiceUnavailable, "told to refuse")
+		writeRefusal(w, http.StatusServiceUnavailable, "told to refuse")
 		return
 	}
 	attempt := r.Header.Get(wire.HeaderAttempt)
-	update := s.runs.begin(Run{
+	update := s.runs.start(Run{
 		Request: r.Header.Get(wire.HeaderRequest), Attempt: attempt,
 		Key: r.Header.Get(wire.HeaderKey), Path: r.Method + " " + r.URL.Path, Incarnation: s.incarnation,
 	})
@@ -96,7 +96,7 @@
 		Code: event.EngineRan, Request: r.Header.Get(wire.HeaderRequest),
 		Attempt: attempt, Target: s.cfg.Name, Detail: r.Method + " " + r.URL.Path,
 	})
-	if f.BreakAt > 0 && s.faults.breakHere(f.BreakAt) {
+	if f.BreakAt > 0 && s.faults.takeStreamBreak(f.BreakAt) {
 		panic(http.ErrAbortHandler)
 	}
 	if f.FailAfterRun {
@@ -115,34 +115,34 @@
 	})
 }
 
-// Kept is a fake store of exported KV cache with a limit in blocks.
-type Kept struct {
-	faults *faultBox
+// KVStore is a fake store of exported KV cache with a limit in blocks.
+type KVStore struct {
+	faults *faultState
 
-	mu    sync.Mutex
-	limit int
-	held  map[string][]byte
-	order []string
+	mu      sync.Mutex
+	limit   int
+	exports map[string][]byte
+	order   []string
 }
 
-// NewKept returns an empty store that holds at most limit exports.
-func NewKept(limit int, seed uint64) *Kept {
-	return &Kept{limit: limit, faults: newFaultBox(seed), held: make(map[string][]byte)}
+// NewKVStore returns an empty store that holds at most limit exports.
+func NewKVStore(limit int, seed uint64) *KVStore {
+	return &KVStore{limit: limit, faults: newFaultState(seed), exports: make(map[string][]byte)}
 }
 
 // Handler serves PUT and GET /kv/{key}.
-func (k *Kept) Handler() http.Handler {
+func (k *KVStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", k.faults.handle)
 	mux.Handle("GET /engine/state", k.faults.wrap(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, report{Incarnation: "kept", Slots: 64})
+		writeJSON(w, http.StatusOK, engineState{Incarnation: "kept", Slots: 64})
 	})))
 	mux.Handle("PUT /kv/{key}", k.faults.wrap(http.HandlerFunc(k.put)))
 	mux.Handle("GET /kv/{key}", k.faults.wrap(http.HandlerFunc(k.get)))
 	return mux
 }
 
-func (k *Kept) put(w http.ResponseWriter, r *http.Request) {
+func (k *KVStore) put(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -150,20 +150,20 @@
 	key := r.PathValue("key")
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if _, ok := k.held[key]; !ok {
+	if _, ok := k.exports[key]; !ok {
 		k.order = append(k.order, key)
 	}
-	k.held[key] = data
+	k.exports[key] = data
 	if len(k.order) > k.limit {
-		delete(k.held, k.order[0])
+		delete(k.exports, k.order[0])
 		k.order = k.order[1:]
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (k *Kept) get(w http.ResponseWriter, r *http.Request) {
+func (k *KVStore) get(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
-	data, ok := k.held[r.PathValue("key")]
+	data, ok := k.exports[r.PathValue("key")]
 	k.mu.Unlock()
 	if !ok {
 		http.NotFound(w, r)
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -12,7 +12,7 @@
 
 // Table is a fake of the table service: the part of the DynamoDB API that pathhead uses.
 type Table struct {
-	faults *faultBox
+	faults *faultState
 
 	mu     sync.Mutex
 	items  map[itemID]item
@@ -37,7 +37,7 @@
 // NewTable returns an empty table.
 func NewTable(seed uint64) *Table {
 	return &Table{
-		faults: newFaultBox(seed),
+		faults: newFaultState(seed),
 		items:  make(map[itemID]item),
 		tokens: make(map[string]bool),
 	}
@@ -153,7 +153,7 @@
 		puts = append(puts, ti.Put)
 	}
 	reasons, ok := t.commit(in.ClientRequestToken, puts)
-	if t.faults.loseReply() {
+	if t.faults.takeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
@@ -167,21 +167,21 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-type reason struct{ Code string }
+type cancellationReason struct{ Code string }
 
 // commit applies all puts or none; a token seen before answers as it did then.
-func (t *Table) commit(token string, puts []tablePut) ([]reason, bool) {
+func (t *Table) commit(token string, puts []tablePut) ([]cancellationReason, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.writes += len(puts)
 	if t.tokens[token] {
 		return nil, true
 	}
-	reasons := make([]reason, len(puts))
+	reasons := make([]cancellationReason, len(puts))
 	ok := true
 	for i, p := range puts {
 		reasons[i].Code = "None"
-		if !t.holds(p) {
+		if !t.conditionMet(p) {
 			reasons[i].Code = "ConditionalCheckFailed"
 			ok = false
 		}
@@ -196,8 +196,8 @@
 	return nil, true
 }
 
-// holds knows the two condition expressions that pathhead writes.
-func (t *Table) holds(p tablePut) bool {
+// conditionMet knows the two condition expressions that pathhead writes.
+func (t *Table) conditionMet(p tablePut) bool {
 	have, exists := t.items[p.Item.id()]
 	switch p.ConditionExpression {
 	case "attribute_not_exists(p)":
@@ -210,7 +210,7 @@
 
 // Objects is a fake of the object store: the part of the S3 API that pathhead uses.
 type Objects struct {
-	faults *faultBox
+	faults *faultState
 
 	mu   sync.Mutex
 	data map[string][]byte
@@ -218,7 +218,7 @@
 
 // NewObjects returns an empty store.
 func NewObjects(seed uint64) *Objects {
-	return &Objects{faults: newFaultBox(seed), data: make(map[string][]byte)}
+	return &Objects{faults: newFaultState(seed), data: make(map[string][]byte)}
 }
 
 // Handler serves the API and the faults.
@@ -257,16 +257,16 @@
 	}
 	o.mu.Lock()
 	_, exists := o.data[key]
-	refuse := exists && r.Header.Get("If-None-Match") == "*"
-	if !refuse {
+	conflict := exists && r.Header.Get("If-None-Match") == "*"
+	if !conflict {
 		o.data[key] = data
 	}
 	o.mu.Unlock()
-	if refuse {
+	if conflict {
 		xmlError(w, http.StatusPreconditionFailed, "PreconditionFailed")
 		return
 	}
-	if o.faults.loseReply() {
+	if o.faults.takeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("ETag", `"standin"`)
@@ -302,7 +302,7 @@
 // VMs is a fake of the platform's VM list, which shows changes late.
 type VMs struct {
 	lag    time.Duration
-	faults *faultBox
+	faults *faultState
 
 	mu      sync.Mutex
 	history []vmVersion
@@ -317,7 +317,7 @@
 func NewVMs(lag time.Duration, initial json.RawMessage) *VMs {
 	return &VMs{
 		lag:     lag,
-		faults:  newFaultBox(0),
+		faults:  newFaultState(0),
 		history: []vmVersion{{data: initial}},
 	}
 }
@@ -346,11 +346,11 @@
 func (v *VMs) serve(w http.ResponseWriter, _ *http.Request) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	seen := v.history[0].data
+	visible := v.history[0].data
 	for _, h := range v.history {
 		if time.Since(h.at) >= v.lag {
-			seen = h.data
+			visible = h.data
 		}
 	}
-	writeJSON(w, http.StatusOK, seen)
+	writeJSON(w, http.StatusOK, visible)
 }
--- a/node/list.go
+++ b/node/list.go
@@ -24,7 +24,7 @@
 	failing bool
 	// backAt is when the store became available again after a failure.
 	backAt time.Time
-	// readAt is when the newest reading began.
+	// refreshedAt is when the newest reading began.
 	readAt time.Time
 	// missing maps targets that are kept although the readings lack them to the time of the first
 	// reading without them.
--- a/node/node.go
+++ b/node/node.go
@@ -163,7 +163,7 @@
 	n := &Node{
 		store: store, protocol: protocol, engines: engines,
 		log:       slog.New(slog.DiscardHandler),
-		now:       clock.Steady,
+		now:       clock.Monotonic,
 		metrics:   metrics.NewSet(),
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		adoption:  fleet.NewAdoption(fraction(s.Bounds.Revoke, revokeFraction), false, fleet.WithGrace(fraction(s.Bounds.Apply, applyFraction))),
@@ -312,7 +312,7 @@
 		n.drain()
 	case err = <-failed:
 	}
-	door.Close(doors)
+	door.CloseAll(doors)
 	stop()
 	n.loops.Wait()
 	servers.Wait()
@@ -332,19 +332,19 @@
 }
 
 // listen opens all listeners or none.
-func (n *Node) listen() ([]door.Door, error) {
+func (n *Node) listen() ([]door.Listener, error) {
 	set := n.settings()
-	openers := []func() (door.Door, error){
-		func() (door.Door, error) {
-			return door.HTTP(set.Callers, n.callersServer(), nil, n.log, door.WithConns(n.callers.track))
+	openers := []func() (door.Listener, error){
+		func() (door.Listener, error) {
+			return door.HTTP(set.Callers, n.callersServer(), nil, n.log, door.WithConnWrapper(n.callers.track))
 		},
-		func() (door.Door, error) { return n.internalDoor(set.Readiness, http.HandlerFunc(n.handleReady)) },
-		func() (door.Door, error) { return peer.Open(set.Peers, nil, n) },
+		func() (door.Listener, error) { return n.internalDoor(set.Readiness, http.HandlerFunc(n.handleReady)) },
+		func() (door.Listener, error) { return peer.Open(set.Peers, nil, n) },
 	}
 	if n.metricsAddr.IsValid() {
-		openers = append(openers, func() (door.Door, error) { return n.internalDoor(n.metricsAddr, n.operatorsHandler()) })
+		openers = append(openers, func() (door.Listener, error) { return n.internalDoor(n.metricsAddr, n.operatorsHandler()) })
 	}
-	return door.Open(openers...)
+	return door.OpenAll(openers...)
 }
 
 // internalHeaderTimeout limits the time to read a request header on servers that are not for
@@ -352,7 +352,7 @@
 const internalHeaderTimeout = 3 * time.Second
 
 // internalDoor opens an HTTP server that is not for callers.
-func (n *Node) internalDoor(addr netip.AddrPort, h http.Handler) (door.Door, error) {
+func (n *Node) internalDoor(addr netip.AddrPort, h http.Handler) (door.Listener, error) {
 	return door.HTTP(addr, &http.Server{Handler: h, ReadHeaderTimeout: internalHeaderTimeout}, nil, n.log)
 }
 
--- a/node/recent_test.go
+++ b/node/recent_test.go
@@ -16,7 +16,7 @@
 func newTestRelays(id string) *relays {
 	self := fleet.Member{ID: id, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Power: 1}
 	return &relays{
-		n:      &Node{now: clock.Steady},
+		n:      &Node{now: clock.Monotonic},
 		roster: fleet.NewRoster[route.PeerState](time.Now(), self, time.Minute),
 		outbox: newOutbox(), echoes: make(map[route.SentRequest]int),
 	}
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -95,7 +95,7 @@
 		cfg.OnNewestWeights = func(time.Time, string, []route.NewestUpdate) {}
 	}
 	if cfg.Clock == nil {
-		cfg.Clock = clock.Steady
+		cfg.Clock = clock.Monotonic
 	}
 	epoch := time.Now().UnixNano()
 	return &Gossip{
--- a/peer/peers.go
+++ b/peer/peers.go
@@ -127,12 +127,12 @@
 }
 
 // Open opens the listener for peers; cfg is nil for plain TCP.
-func Open(addr netip.AddrPort, cfg *tls.Config, h Handler) (door.Door, error) {
+func Open(addr netip.AddrPort, cfg *tls.Config, h Handler) (door.Listener, error) {
 	l, err := door.Listen(addr, cfg)
 	if err != nil {
-		return door.Door{}, err
+		return door.Listener{}, err
 	}
-	return door.Door{
+	return door.Listener{
 		Serve: func() error { return Serve(l, h) },
 		Close: func() { l.Close() },
 	}, nil
--- a/router/operators.go
+++ b/router/operators.go
@@ -75,7 +75,7 @@
 	door.WriteJSON(w, http.StatusOK, out)
 }
 
-// handleLeave takes an operator's word that a target is leaving.
+// handleDrain takes an operator's word that a target is leaving.
 func (r *Router) handleLeave(w http.ResponseWriter, req *http.Request) {
 	addr, err := netip.ParseAddrPort(req.URL.Query().Get("target"))
 	if err != nil {
--- a/router/router.go
+++ b/router/router.go
@@ -241,7 +241,7 @@
 		r.drain()
 	case err = <-failed:
 	}
-	door.Close(doors)
+	door.CloseAll(doors)
 	stop()
 	r.loops.Wait()
 	servers.Wait()
@@ -257,15 +257,17 @@
 // maxHeader bounds a request's header in bytes.
 const maxHeader = 32 << 10
 
-func (r *Router) listen() ([]door.Door, error) {
-	return door.Open(
-		func() (door.Door, error) { return r.httpDoor(r.set.Callers, r.callersHandler(), r.set.CallerTLS) },
-		func() (door.Door, error) { return r.httpDoor(r.set.Operators, r.operatorsHandler(), r.set.PeerServer) },
-		func() (door.Door, error) { return peer.Open(r.set.Peers, r.set.PeerServer, r) },
+func (r *Router) listen() ([]door.Listener, error) {
+	return door.OpenAll(
+		func() (door.Listener, error) { return r.httpDoor(r.set.Callers, r.callersHandler(), r.set.CallerTLS) },
+		func() (door.Listener, error) {
+			return r.httpDoor(r.set.Operators, r.operatorsHandler(), r.set.PeerServer)
+		},
+		func() (door.Listener, error) { return peer.Open(r.set.Peers, r.set.PeerServer, r) },
 	)
 }
 
-func (r *Router) httpDoor(addr netip.AddrPort, h http.Handler, cfg *tls.Config) (door.Door, error) {
+func (r *Router) httpDoor(addr netip.AddrPort, h http.Handler, cfg *tls.Config) (door.Listener, error) {
 	return door.HTTP(addr, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader}, cfg, r.log)
 }
 
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -94,7 +94,7 @@
 		dialTimeout: defaultDialTimeout,
 		maxConns:    func(netip.AddrPort) int { return 0 },
 		opened:      func() {},
-		now:         clock.Steady,
+		now:         clock.Monotonic,
 		idle:        make(map[netip.AddrPort][]*conn),
 		open:        make(map[netip.AddrPort]int),
 	}
--- a/wire/engine.go
+++ b/wire/engine.go
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// kvBlocks lists cache blocks by their hashes. The stand-in's interface transfers these in
+// kvExport lists cache blocks by their hashes. The stand-in's interface transfers these in
 // place of the contents of the blocks.
 type kvBlocks struct {
 	Blocks []route.Block `json:"blocks"`
