--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// batch is an engine's scheduler: a limited number of requests run at once, one
-// prefills at a time, and waiting requests are taken by priority, then arrival.
+// batch is an engine's scheduler. At most slots requests run at once, one of them
+// prefills at a time, and waiting requests get slots by priority, then by arrival.
 type batch struct {
 	slots   int
 	prefill chan struct{}
@@ -19,13 +19,15 @@
 	waiting waitHeap
 }
 
+// waiter is a request that waits for a slot; ready is closed when it gets one.
 type waiter struct {
 	priority int
 	seq      int
 	ready    chan struct{}
-	index    int
+	index    int // position in the heap, -1 once removed
 }
 
+// waitHeap implements [heap.Interface]; the first element is the next to get a slot.
 type waitHeap []*waiter
 
 func (h waitHeap) Len() int { return len(h) }
@@ -59,7 +61,7 @@
 	return &batch{slots: slots, prefill: make(chan struct{}, 1)}
 }
 
-// acquire waits for a slot; it fails only if the context ends first.
+// acquire waits for a slot. It fails only if the context is done first.
 func (b *batch) acquire(ctx context.Context, priority int) error {
 	b.mu.Lock()
 	if b.running < b.slots {
@@ -82,17 +84,19 @@
 		heap.Remove(&b.waiting, w.index)
 		return ctx.Err()
 	}
+	// The slot was assigned while the context was cancelled.
 	b.releaseLocked()
 	return ctx.Err()
 }
 
-// release gives the slot to the first waiter or frees it.
+// release assigns the slot to the first waiter, or frees it if nothing waits.
 func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.releaseLocked()
 }
 
+// releaseLocked is release with b.mu held.
 func (b *batch) releaseLocked() {
 	if len(b.waiting) == 0 {
 		b.running--
@@ -101,14 +105,14 @@
 	close(heap.Pop(&b.waiting).(*waiter).ready)
 }
 
-// load returns the requests that run and wait.
+// load returns the numbers of running and waiting requests.
 func (b *batch) load() (running, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.running, len(b.waiting)
 }
 
-// sleep waits for d and reports whether it was not cut short by the context.
+// sleep waits for d. It returns false if the context is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -7,7 +7,7 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// cacheEvent is one change of an engine's cache, as it is published.
+// cacheEvent is one change of an engine's cache, in its published form.
 type cacheEvent struct {
 	Seq   int64       `json:"seq"`
 	Op    string      `json:"op"`
@@ -20,7 +20,7 @@
 	opEvict = "evict"
 )
 
-// blockCache is an engine's prefix cache: blocks in least-recently-used order under a limit.
+// blockCache is an engine's prefix cache: an LRU cache of at most limit blocks.
 type blockCache struct {
 	limit int
 	emit  func(op string, b route.Block)
@@ -30,7 +30,7 @@
 	order  *list.List
 }
 
-// cacheEntry is a block and the request that filled it.
+// cacheEntry holds a block and the id of the request that filled it.
 type cacheEntry struct {
 	block    route.Block
 	filledBy string
@@ -45,7 +45,8 @@
 	}
 }
 
-// match returns how many leading blocks are held and the requests that filled them.
+// match returns how many leading blocks of the chain are cached and which requests
+// filled them. It marks these blocks as recently used.
 func (c *blockCache) match(chain []route.Block) (n int, owners []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,14 +66,16 @@
 	return n, owners
 }
 
-// touch moves blocks to the front, the deepest last in line so that it is evicted first.
+// touch marks cached blocks as recently used. Deeper blocks rank behind shallower ones
+// and are evicted first, since a block is of use only with all blocks before it.
 func (c *blockCache) touch(chain []route.Block) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		c.order.MoveToFront(c.blocks[chain[i]])
 	}
 }
 
-// fill stores the blocks of a prefilled prompt and evicts the oldest over the limit.
+// fill stores the blocks of a prefilled prompt and evicts the least recently used
+// blocks over the limit.
 func (c *blockCache) fill(chain []route.Block, owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,14 +97,14 @@
 	}
 }
 
-// size returns the number of blocks held.
+// size returns the number of cached blocks.
 func (c *blockCache) size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.order.Len()
 }
 
-// present returns which of the given blocks are held.
+// present returns those of the given blocks that are cached.
 func (c *blockCache) present(blocks []route.Block) []route.Block {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/complete.go
+++ b/internal/standin/complete.go
@@ -19,7 +19,8 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// completion is a request to an engine; Resume carries what another attempt already delivered.
+// completion is the body of a completion request. Resume holds the part of the answer
+// that an earlier attempt delivered.
 type completion struct {
 	Model     string          `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
@@ -31,9 +32,10 @@
 	Resume    *wire.Resume    `json:"resume"`
 }
 
-// defaultMaxTokens is the length of an answer whose request names none.
+// defaultMaxTokens is the answer length for requests without max_tokens.
 const defaultMaxTokens = 16
 
+// text returns the prompt as the text that is split into cache blocks.
 func (c *completion) text(chat bool) ([]byte, error) {
 	if !chat {
 		return []byte(c.Prompt), nil
@@ -46,13 +48,14 @@
 	return text, nil
 }
 
-// Token returns the n-th token of the answer to a prompt, which depends on the weights and nothing else.
+// Token returns the n-th token of the answer to a prompt. It depends on the prompt and
+// the weights only, so any engine with these weights gives the same answer.
 func Token(text []byte, weights string, n int) string {
 	seed := xxh3.HashSeed(text, xxh3.HashString(weights))
 	return strconv.FormatUint(xxh3.HashSeed([]byte(strconv.Itoa(n)), seed)%46656, 36) + " "
 }
 
-// Answer returns the first n tokens of the answer to a chat, for comparison in tests.
+// Answer returns the first n tokens of the answer to a prompt; tests compare answers with it.
 func Answer(text []byte, weights string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -61,7 +64,7 @@
 	return b.String()
 }
 
-// job is one request that passed the engine's checks.
+// job is one completion request and the state of its run.
 type job struct {
 	completion
 	chat         bool
@@ -73,7 +76,7 @@
 	cachedTokens int
 }
 
-// complete serves one completion from its checks to its end.
+// complete checks a completion request and, if it is admitted, runs it.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request, chat bool) {
 	j := &job{chat: chat, request: r.Header.Get(wire.HeaderRequest), attempt: r.Header.Get(wire.HeaderAttempt)}
 	if err := json.NewDecoder(r.Body).Decode(&j.completion); err != nil {
@@ -100,13 +103,14 @@
 	e.run(w, r, j)
 }
 
-// writeRefusal answers that the request did not run.
+// writeRefusal answers with an error whose header says that the request did not run.
 func writeRefusal(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(wire.HeaderRan, wire.RanNo)
 	writeJSON(w, status, map[string]any{"error": map[string]string{"message": reason, "type": "not_run"}})
 }
 
-// admit checks what the router expects of the engine before anything runs.
+// admit checks a request before anything of it runs, including the incarnation and
+// weights that the router expects. An empty reason admits the request.
 func (e *Engine) admit(j *job, h http.Header) (status int, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,7 +119,7 @@
 	j.weights = m.Weights
 	switch {
 	case e.faults.get().RefuseAll:
-		return http.StatusServiceUnavailable, "told to refuse"
+		return http.StatusServiceUnavailable, "refused by an injected fault"
 	case e.draining:
 		return http.StatusServiceUnavailable, "leaving"
 	case !ok || (adapter != "" && !contains(m.Adapters, adapter)):
@@ -130,6 +134,8 @@
 	return 0, ""
 }
 
+// differs reports whether a header names a value other than the engine's; an empty
+// header expects nothing.
 func differs(want, have string) bool { return want != "" && want != have }
 
 func contains(list []string, s string) bool {
@@ -141,7 +147,7 @@
 	return false
 }
 
-// run waits for a slot, prefills and streams or collects the answer.
+// run waits for a slot, prefills the prompt and writes the answer.
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, j *job) {
 	ctx := r.Context()
 	if e.batch.acquire(ctx, j.Priority) != nil {
@@ -177,7 +183,8 @@
 	})
 }
 
-// prefill computes the prompt's uncached part, one request at a time.
+// prefill simulates the computation of the prompt's uncached part, one request at a
+// time, and fills the cache. It returns false if the context is done first.
 func (e *Engine) prefill(ctx context.Context, j *job) bool {
 	select {
 	case e.batch.prefill <- struct{}{}:
@@ -204,7 +211,8 @@
 	return true
 }
 
-// decode writes the answer from token start on and reports whether all of it was written.
+// decode writes the answer from token start on. It reports whether the answer was
+// written to its end.
 func (e *Engine) decode(ctx context.Context, w http.ResponseWriter, j *job, start int) bool {
 	attempt := j.attempt
 	if e.faults.get().CrossReplies {
@@ -230,7 +238,7 @@
 	return out.finish(route.Tokens(len(j.text)), j.MaxTokens-start)
 }
 
-// setMisreportedHeaders makes the head of an answer say what [Faults.Pose] tells.
+// setMisreportedHeaders sets the wrong header that [Faults.Misreport] selects.
 func (e *Engine) setMisreportedHeaders(h http.Header) {
 	switch e.faults.get().Misreport {
 	case MisreportIncarnation:
@@ -240,17 +248,19 @@
 	}
 }
 
-// chunkWriter writes an answer as server-sent events or as one body, and shows the stream faults.
+// chunkWriter writes an answer as server-sent events or as one body, and injects the
+// faults of streams.
 type chunkWriter struct {
 	w       http.ResponseWriter
 	job     *job
 	attempt string
 	faults  *faultState
 	seq     int
-	swapped []byte
+	swapped []byte // event that is written after the next one
 	text    strings.Builder
 }
 
+// writeToken writes one token, or collects it if the request did not ask for a stream.
 func (c *chunkWriter) writeToken(text string) bool {
 	if !c.job.Stream {
 		c.text.WriteString(text)
@@ -259,6 +269,7 @@
 	return c.writeChunk(c.choice(text, nil), nil)
 }
 
+// choice returns the choices of one stream event, in the form of the chat or the text API.
 func (c *chunkWriter) choice(text string, finish any) []any {
 	if c.job.chat {
 		delta := map[string]string{}
@@ -270,7 +281,8 @@
 	return []any{map[string]any{"index": 0, "text": text, "finish_reason": finish}}
 }
 
-// writeChunk writes one numbered event, or breaks, drops, repeats or swaps it as told.
+// writeChunk writes one numbered event. An injected fault may break the stream before
+// it, drop it, repeat it or swap it with the next one.
 func (c *chunkWriter) writeChunk(choices []any, usage any) bool {
 	c.seq++
 	if c.faults.takeStreamBreak(c.seq) {
@@ -300,6 +312,7 @@
 	return true
 }
 
+// body returns the members that stream events and whole answers have in common.
 func (c *chunkWriter) body(choices []any, usage any) map[string]any {
 	object := "text_completion"
 	if c.job.chat {
@@ -311,6 +324,8 @@
 	}
 }
 
+// finish writes the finish reason, the usage and the end of the stream, or the whole
+// answer if the request did not ask for a stream.
 func (c *chunkWriter) finish(prompt, generated int) bool {
 	usage := map[string]any{
 		"prompt_tokens":         prompt,
@@ -331,7 +346,7 @@
 	return err == nil
 }
 
-// writeBody writes the answer of a request that did not ask for a stream.
+// writeBody writes a whole answer, for requests that did not ask for a stream.
 func (c *chunkWriter) writeBody(usage any) bool {
 	body := c.body(nil, usage)
 	choice := map[string]any{"index": 0, "finish_reason": "stop"}
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,8 +1,9 @@
-// Package standin holds small fakes of what pathhead meets outside: model
-// engines, plain services, kept KV stores, the table service, the object store
-// and the VM list.
+// Package standin provides fakes of the systems that pathhead talks to: model
+// engines, plain services, stores of exported KV cache, the table service, the
+// object store and the platform's list of VMs.
 //
-// They are honest where pathhead's decisions depend on them and crude
-// elsewhere. Every fake keeps a log of what it ran, which tests use as the
-// oracle, and takes faults by flag and by POST /standin/faults.
+// The fakes are accurate where pathhead's decisions depend on their behaviour and
+// simplified elsewhere. Engines and services log every request that they run,
+// which tests use as their oracle. Faults are injected by flags and by
+// POST /standin/faults.
 package standin
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -26,14 +26,14 @@
 	EventLag     time.Duration
 	EventLoss    float64
 	ChecksExpect bool
-	// Crash is called when a prompt with the text CrashOn begins to run; without a text none does.
+	// Crash is called when a prompt that contains CrashOn starts to run; an empty CrashOn matches none.
 	CrashOn       string
 	Crash         func()
 	ChecksFencing bool
 	Seed          uint64
 }
 
-// loadedModel is a model that an engine serves.
+// loadedModel describes a model that an engine serves.
 type loadedModel struct {
 	Weights  string   `json:"weights"`
 	Adapters []string `json:"adapters,omitempty"`
@@ -61,13 +61,13 @@
 	seq         int64
 }
 
-// loggedEvent is a cache event and when it may be published.
+// loggedEvent is a cache event and the time from which it is published.
 type loggedEvent struct {
 	cacheEvent
 	visibleAt time.Time
 }
 
-// NewEngine returns an engine with an empty cache and a new incarnation.
+// NewEngine returns an engine with an empty cache and a new incarnation id.
 func NewEngine(cfg EngineConfig, rec *event.Recorder) *Engine {
 	e := &Engine{
 		cfg:         cfg,
@@ -86,10 +86,11 @@
 	return e
 }
 
-// maxLoggedEvents bounds the events kept for late readers; older ones are a gap to them.
+// maxLoggedEvents bounds the cache events kept for slow readers. To these, dropped older
+// events are a gap in the sequence numbers.
 const maxLoggedEvents = 8192
 
-// emit numbers a cache event and, unless it is lost, keeps it for publication.
+// emit numbers a cache event and logs it for publication, unless an injected fault drops it.
 func (e *Engine) emit(op string, b route.Block) {
 	lost := e.faults.draw(e.faults.get().EventLoss)
 	e.mu.Lock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// Handler serves the OpenAI API, the engine's own calls and the test controls.
+// Handler serves the OpenAI API, the engine API and the test controls.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", e.faults.handle)
@@ -124,7 +125,7 @@
 	return mux
 }
 
-// engineState is what an engine says of its load.
+// engineState is the answer of /engine/state.
 type engineState struct {
 	takenAt     time.Time
 	Incarnation string                 `json:"incarnation"`
@@ -141,8 +142,9 @@
 	Fence       int64                  `json:"fence"`
 }
 
-// handleState answers with the newest report at least ReportLag old; what the
-// engine is, and whether it leaves, is never late.
+// handleState answers with the engine's state. The load (running, waiting, blocks) is the
+// newest recorded at least ReportLag ago; the identity, the models and whether the
+// engine drains are always current.
 func (e *Engine) handleState(w http.ResponseWriter, _ *http.Request) {
 	running, waiting := e.batch.load()
 	size := e.cache.size()
@@ -176,7 +178,7 @@
 	writeJSON(w, http.StatusOK, now)
 }
 
-// handleEvents answers with the published events after a sequence number.
+// handleEvents answers with the published cache events after a sequence number.
 func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(cmp.Or(r.URL.Query().Get("after"), "0"), 10, 64)
 	out := struct {
@@ -198,20 +200,20 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// handleDrain makes the engine say that it leaves and refuse new requests.
+// handleDrain makes the engine announce that it drains and refuse new requests.
 func (e *Engine) handleDrain(w http.ResponseWriter, _ *http.Request) {
 	e.Drain()
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// Drain begins a planned stop: requests that run go on, new ones are refused.
+// Drain starts a planned stop: running requests continue, new ones are refused.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
 }
 
-// WaitIdle waits until nothing runs or the context ends.
+// WaitIdle waits until no request runs or waits, or the context is done.
 func (e *Engine) WaitIdle(ctx context.Context) {
 	for {
 		running, waiting := e.batch.load()
@@ -221,7 +223,8 @@
 	}
 }
 
-// eventsHandler serves a fake's recorded events, so that the time line reaches the targets too.
+// eventsHandler serves a fake's recorded events, so that a request's timeline includes
+// what happened at the targets.
 func eventsHandler(rec *event.Recorder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, rec.Events(event.Filter{Request: r.URL.Query().Get("request")}))
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// Faults are the failures a fake can be told to show; durations are in milliseconds on the wire.
+// Faults are the failures that a fake injects; durations are in milliseconds on the wire.
 type Faults struct {
 	// Down makes every call fail by closing its connection.
 	Down bool `json:"down"`
 	// SlowMS delays every call.
 	SlowMS int `json:"slowMs"`
-	// LoseReplies is the number of next writes that take effect without a reply.
+	// LoseReplies is the number of next writes that take effect but whose reply is lost.
 	LoseReplies int `json:"loseReplies"`
-	// BreakAt closes the connection of a stream before this chunk; zero is off.
+	// BreakAt closes a stream's connection before the chunk of this number; zero is off.
 	BreakAt int `json:"breakAt"`
-	// BreakCount bounds how many streams BreakAt breaks; zero means all.
+	// BreakCount is the number of streams that BreakAt breaks; zero means all.
 	BreakCount int `json:"breakCount"`
-	// DropAt, DupAt and SwapAt lose, repeat and exchange the chunk of that number.
+	// DropAt, DupAt and SwapAt drop a chunk, repeat it, and swap it with the next one, by its number.
 	DropAt int `json:"dropAt"`
 	DupAt  int `json:"dupAt"`
 	SwapAt int `json:"swapAt"`
-	// CrossReplies echoes another attempt's id.
+	// CrossReplies answers with the id of another attempt.
 	CrossReplies bool `json:"crossReplies"`
-	// Pose makes answers say that they come from another incarnation ("incarnation")
-	// or from other weights ("weights"), as those of an engine do that changed after
-	// it was last asked and checks nothing.
+	// Misreport makes answers name another incarnation ("incarnation") or other weights
+	// ("weights"). An engine does so if it changed after its state was last read and
+	// does not check what the request expects.
 	Misreport string `json:"pose"`
-	// EventLoss is the share of cache events lost, from 0 to 1.
+	// EventLoss is the fraction of cache events that is lost, from 0 to 1.
 	EventLoss float64 `json:"eventLoss"`
-	// RefuseAll answers every request with a refusal before running.
+	// RefuseAll refuses every request before it runs.
 	RefuseAll bool `json:"refuseAll"`
-	// RetryAfter is what refusals say by the header of that name; nothing if it is empty.
+	// RetryAfter is the Retry-After header of refusals; if empty there is none.
 	RetryAfter string `json:"retryAfter"`
-	// FailAfterRun runs the request, then answers status 500.
+	// FailAfterRun runs the request, then answers with status 500.
 	FailAfterRun bool `json:"failAfterRun"`
-	// HideFinish ends streams without the finish mark.
+	// HideFinish ends streams without a finish reason and an end marker.
 	HideFinish bool `json:"hideFinish"`
-	// Forge publishes the event that this block was stored, under an old incarnation.
+	// Forge publishes an event of a block that was not stored, under a wrong incarnation.
 	Forge bool `json:"forge"`
 }
 
-// The things that [Faults.Pose] names.
+// The values of [Faults.Misreport].
 const (
 	MisreportIncarnation = "incarnation"
 	MisreportWeights     = "weights"
 )
 
-// faultState holds the current faults and the seeded source of random ones.
+// faultState holds the current faults and the seeded random source for probabilistic ones.
 type faultState struct {
 	mu      sync.Mutex
 	current Faults
@@ -73,7 +73,7 @@
 	b.current = f
 }
 
-// takeLostReply takes one of the replies that are to be lost.
+// takeLostReply reports whether the current reply is to be lost, and decrements LoseReplies.
 func (b *faultState) takeLostReply() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +84,8 @@
 	return true
 }
 
-// takeStreamBreak reports whether a stream is to be broken before chunk n.
+// takeStreamBreak reports whether a stream is to be broken before chunk n, and decrements
+// BreakCount; the last break also resets BreakAt.
 func (b *faultState) takeStreamBreak(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,7 +101,7 @@
 	return true
 }
 
-// draw draws from the seeded source.
+// draw returns true with probability p.
 func (b *faultState) draw(p float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -120,7 +121,7 @@
 	writeJSON(w, http.StatusOK, b.get())
 }
 
-// wrap applies the faults that any service can have to a handler.
+// wrap adds to a handler the faults that are common to all fakes: Down and SlowMS.
 func (b *faultState) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := b.get()
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -9,7 +9,8 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// orderRecord is one order as it took effect; it is the oracle of fencing tests.
+// orderRecord is one order that arrived and whether it was accepted. Tests of fencing
+// use these records as their oracle.
 type orderRecord struct {
 	wire.Order
 	At       time.Time `json:"at"`
@@ -17,14 +18,15 @@
 	Reason   string    `json:"why,omitempty"`
 }
 
-// handleOrders lists every order that arrived.
+// handleOrders lists all orders that arrived, also those that were rejected.
 func (e *Engine) handleOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	writeJSON(w, http.StatusOK, append([]orderRecord{}, e.orders...))
 }
 
-// handleOrder takes an order if its condition and, where checked, its fencing number allow it.
+// handleOrder applies an order if its conditions and, with ChecksFencing, its fencing
+// token allow it.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o wire.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -45,10 +47,11 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
+// rejectionReason returns why an order is rejected, or an empty string.
 func (e *Engine) rejectionReason(o wire.Order) string {
 	switch {
 	case e.cfg.ChecksFencing && o.Fence < e.fence:
-		return "old fencing number"
+		return "stale fencing token"
 	case o.Incarnation != "" && string(o.Incarnation) != e.incarnation:
 		return "other incarnation"
 	case e.models[o.Model].Weights != o.IfWeights:
@@ -59,7 +62,8 @@
 	return ""
 }
 
-// apply starts the change; a load takes LoadTime, during which the model is not served.
+// apply starts the change that an order asks for. A load takes LoadTime, during which
+// the model is not served.
 func (e *Engine) apply(o wire.Order) {
 	e.fence = max(e.fence, o.Fence)
 	switch o.Action {
@@ -79,14 +83,16 @@
 	}
 }
 
-// kvExport is an export of cache entries: their identities stand for their contents.
+// kvExport is an export of cache blocks. The fake transfers only the blocks' hashes, not
+// their contents.
 type kvExport struct {
 	Blocks []route.Block `json:"blocks"`
 }
 
-// importSpeedup is how much faster a block is imported than prefilled.
+// importSpeedup is the ratio of the speeds of importing a block and of prefilling it.
 const importSpeedup = 8
 
+// handleExport answers with those of the requested blocks that are cached.
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
 	var in kvExport
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
@@ -96,6 +102,7 @@
 	writeJSON(w, http.StatusOK, kvExport{Blocks: e.cache.present(in.Blocks)})
 }
 
+// handleImport stores exported blocks in the cache.
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
 	var in kvExport
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
--- a/internal/standin/runlog.go
+++ b/internal/standin/runlog.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run is what a fake writes down about one request that it began to run.
+// Run is a fake's record of one request that it started to run.
 type Run struct {
 	Request     string    `json:"request"`
 	Attempt     string    `json:"attempt"`
@@ -32,13 +32,14 @@
 	runCancelled = "cancelled"
 )
 
-// runLog keeps every run; it is the oracle of tests, so it drops nothing.
+// runLog records every run. Tests use it as their oracle, so it has no bound and drops
+// nothing.
 type runLog struct {
 	mu   sync.Mutex
 	runs []*Run
 }
 
-// start writes a run down and returns a function that changes it.
+// start records a run and returns a function that updates the record.
 func (l *runLog) start(r Run) func(func(*Run)) {
 	r.State = runRunning
 	r.Begin = time.Now().UTC()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -12,14 +12,15 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// ServiceConfig describes a fake plain service.
+// ServiceConfig configures a fake plain service.
 type ServiceConfig struct {
 	Name  string
 	Delay time.Duration
 	Seed  uint64
 }
 
-// Service is a fake plain service, such as check-in: every call has an effect that it logs.
+// Service is a fake plain service, such as check-in. It logs every call, which stands for
+// the call's effect.
 type Service struct {
 	cfg         ServiceConfig
 	incarnation string
@@ -31,7 +32,7 @@
 	draining bool
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service with an empty log and a new incarnation id.
 func NewService(cfg ServiceConfig, rec *event.Recorder) *Service {
 	return &Service{
 		cfg:         cfg,
@@ -41,7 +42,7 @@
 	}
 }
 
-// Handler serves any path, the state and the test controls.
+// Handler serves calls on any path, the state and the test controls.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", s.faults.handle)
@@ -56,7 +57,7 @@
 	return mux
 }
 
-// Drain makes the service say that it leaves.
+// Drain makes the service announce that it drains.
 func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 		if f.RetryAfter != "" {
 			w.Header().Set("Retry-After", f.RetryAfter)
 		}
-		writeRefusal(w, http.StatusServiceUnavailable, "told to refuse")
+		writeRefusal(w, http.StatusServiceUnavailable, "refused by an injected fault")
 		return
 	}
 	attempt := r.Header.Get(wire.HeaderAttempt)
@@ -100,7 +101,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if f.FailAfterRun {
-		http.Error(w, "failed after it ran", http.StatusInternalServerError)
+		http.Error(w, "failed after the request ran", http.StatusInternalServerError)
 		return
 	}
 	if f.CrossReplies {
@@ -115,7 +116,8 @@
 	})
 }
 
-// KVStore is a fake store of exported KV cache with a limit in blocks.
+// KVStore is a fake store of exported KV cache. It holds at most limit exports and drops
+// the oldest above that.
 type KVStore struct {
 	faults *faultState
 
@@ -125,12 +127,12 @@
 	order   []string
 }
 
-// NewKVStore returns an empty store that holds at most limit exports.
+// NewKVStore returns an empty store for at most limit exports.
 func NewKVStore(limit int, seed uint64) *KVStore {
 	return &KVStore{limit: limit, faults: newFaultState(seed), exports: make(map[string][]byte)}
 }
 
-// Handler serves PUT and GET /kv/{key}.
+// Handler serves PUT and GET /kv/{key}, the state and the faults.
 func (k *KVStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", k.faults.handle)
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Table is a fake of the table service: the part of the DynamoDB API that pathhead uses.
+// Table is a fake of the table service. It implements the part of the DynamoDB API that
+// pathhead uses.
 type Table struct {
 	faults *faultState
 
@@ -21,9 +22,10 @@
 	writes int
 }
 
+// itemID is an item's primary key: its partition key and its sort key.
 type itemID struct{ part, sort string }
 
-// attr is one attribute value in the API's JSON form; B is base64 text.
+// attr is one attribute value in the API's JSON form; B is base64-encoded.
 type attr struct {
 	S string  `json:"S,omitempty"`
 	N string  `json:"N,omitempty"`
@@ -43,7 +45,7 @@
 	}
 }
 
-// Handler serves the API, the faults and the counters.
+// Handler serves the API, the fault controls and the request counters.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", t.faults.handle)
@@ -132,7 +134,7 @@
 	}{found, len(found)})
 }
 
-// tablePut is the one kind of transaction item that pathhead writes.
+// tablePut is a conditional put, the only kind of transaction item that pathhead writes.
 type tablePut struct {
 	Item                      item
 	ConditionExpression       string
@@ -169,7 +171,8 @@
 
 type cancellationReason struct{ Code string }
 
-// commit applies all puts or none; a token seen before answers as it did then.
+// commit applies all puts or none. A token that was committed before succeeds again
+// without effect, as idempotency tokens of the API do.
 func (t *Table) commit(token string, puts []tablePut) ([]cancellationReason, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +199,8 @@
 	return nil, true
 }
 
-// conditionMet knows the two condition expressions that pathhead writes.
+// conditionMet evaluates the condition of a put. It supports the two expressions that
+// pathhead writes; any other one fails.
 func (t *Table) conditionMet(p tablePut) bool {
 	have, exists := t.items[p.Item.id()]
 	switch p.ConditionExpression {
@@ -208,7 +212,8 @@
 	return false
 }
 
-// Objects is a fake of the object store: the part of the S3 API that pathhead uses.
+// Objects is a fake of the object store. It implements the part of the S3 API that
+// pathhead uses.
 type Objects struct {
 	faults *faultState
 
@@ -216,12 +221,12 @@
 	data map[string][]byte
 }
 
-// NewObjects returns an empty store.
+// NewObjects returns an empty object store.
 func NewObjects(seed uint64) *Objects {
 	return &Objects{faults: newFaultState(seed), data: make(map[string][]byte)}
 }
 
-// Handler serves the API and the faults.
+// Handler serves the API and the fault controls.
 func (o *Objects) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", o.faults.handle)
@@ -299,7 +304,7 @@
 	_, _ = io.WriteString(w, `<?xml version="1.0"?><Error><Code>`+code+`</Code></Error>`)
 }
 
-// VMs is a fake of the platform's VM list, which shows changes late.
+// VMs is a fake of the platform's list of VMs, in which changes become visible with a delay.
 type VMs struct {
 	lag    time.Duration
 	faults *faultState
@@ -313,7 +318,7 @@
 	data json.RawMessage
 }
 
-// NewVMs returns a list that shows a change only after lag.
+// NewVMs returns a list in which changes become visible after lag.
 func NewVMs(lag time.Duration, initial json.RawMessage) *VMs {
 	return &VMs{
 		lag:     lag,
@@ -322,7 +327,7 @@
 	}
 }
 
-// Handler serves the list at /vms; POST /standin/vms replaces it.
+// Handler serves the list at /vms and the fault controls. POST /standin/vms replaces the list.
 func (v *VMs) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/standin/faults", v.faults.handle)
@@ -334,7 +339,7 @@
 func (v *VMs) replace(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil || !json.Valid(data) {
-		http.Error(w, "the list must be JSON", http.StatusBadRequest)
+		http.Error(w, "the list of VMs is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	v.mu.Lock()
