--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -23,7 +23,7 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// Result is what one caller saw.
+// Result is the outcome of one request as its caller observed it.
 type Result struct {
 	Org        string        `json:"organisation"`
 	Due        time.Duration `json:"dueNs"`
@@ -35,18 +35,18 @@
 	Code       string        `json:"code,omitempty"`
 	Prompt     int           `json:"prompt"`
 	Cached     int           `json:"cached"`
-	// Wrong says that an answer that looked whole was not the right one.
+	// Wrong means that a complete answer was not the expected one.
 	Wrong bool `json:"wrong"`
-	// Cut says that the answer ended without its finish mark.
+	// Cut means that the answer ended without its end marker, or that none arrived.
 	Cut  bool   `json:"cut"`
 	Text string `json:"-"`
 }
 
-// OK reports whether the caller got a whole answer.
+// OK reports whether the caller got a complete answer that is not known to be wrong.
 func (r Result) OK() bool { return r.Status == http.StatusOK && !r.Cut && !r.Wrong }
 
-// Client sends requests as callers behind a balancer do: to the doors in turn,
-// passing over those that refuse the connection.
+// Client sends requests as callers behind a load balancer do: to the routers'
+// addresses round-robin, skipping addresses to which the request fails.
 type Client struct {
 	addrs    []netip.AddrPort
 	http     *http.Client
@@ -55,18 +55,18 @@
 	retries  int
 }
 
-// NewClient returns a client of the doors. Weights, if not empty, are those whose
-// answers are right; retries is how often a refused request is sent again after
-// the time it was told.
+// NewClient returns a client of the routers at addrs. If weights is not empty, answers
+// are compared with those that these weights give. A request that was refused and did
+// not run is retried up to retries times.
 func NewClient(addrs []netip.AddrPort, weights string, retries int) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}
 	return &Client{addrs: addrs, http: &http.Client{Transport: t}, weights: weights, retries: retries}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Play sends the arrivals when they are due and returns what became of each.
+// Play sends each arrival when it is due and returns the results in the same order.
 func (c *Client) Play(ctx context.Context, arrivals []Arrival) []Result {
 	results := make([]Result, len(arrivals))
 	started := time.Now()
@@ -84,6 +84,7 @@
 	return results
 }
 
+// sleepUntil waits until t. It returns false if the context is done first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
@@ -99,7 +100,8 @@
 	}
 }
 
-// Do sends one request as a stream and reads its answer to the end.
+// Do sends one streaming request, retries it if allowed, and reads the answer to its end.
+// The times of the result count from the call, over all attempts.
 func (c *Client) Do(ctx context.Context, a Arrival) Result {
 	started := time.Now()
 	for try := 0; ; try++ {
@@ -114,7 +116,8 @@
 	}
 }
 
-// retryAfter reports whether a result invites a repeat: only a refusal that did not run does.
+// retryAfter reports whether a request may be retried, and after which delay. Only a
+// refusal with status 429 or above, of a request that did not run, may be.
 func retryAfter(r Result) (time.Duration, bool) {
 	if r.Verdict != route.NotRun.String() || r.Status < http.StatusTooManyRequests {
 		return 0, false
@@ -122,6 +125,7 @@
 	return time.Second, true
 }
 
+// attempt sends a request once and reads its answer.
 func (c *Client) attempt(ctx context.Context, a Arrival, started time.Time) Result {
 	out := Result{Org: a.Org}
 	resp, err := c.send(ctx, a)
@@ -145,6 +149,7 @@
 	return out
 }
 
+// errorCode returns the code of an error body, or an empty string.
 func errorCode(body io.Reader) string {
 	var e struct {
 		Error struct {
@@ -155,7 +160,7 @@
 	return e.Error.Code
 }
 
-// send tries each door once, beginning with the next in turn.
+// send tries each address at most once, starting with the next one round-robin.
 func (c *Client) send(ctx context.Context, a Arrival) (*http.Response, error) {
 	body, err := json.Marshal(struct {
 		Model     string          `json:"model"`
@@ -193,7 +198,7 @@
 	return c.http.Do(req)
 }
 
-// readStream takes the chunks of an answer; without the finish mark it is cut.
+// readStream reads the chunks of an answer. An answer without an end marker is cut.
 func (c *Client) readStream(body io.Reader, out *Result, started time.Time) {
 	in := wire.NewEventReader(body)
 	var text strings.Builder
@@ -220,7 +225,7 @@
 	out.Text = text.String()
 }
 
-// checkAnswer compares an answer with the one that the stand-in engines give.
+// checkAnswer compares a complete answer with the one that the stand-in engines give.
 func (c *Client) checkAnswer(a Arrival, out *Result) {
 	if c.weights == "" || out.Cut {
 		return
@@ -229,7 +234,7 @@
 	out.Wrong = out.Text != want
 }
 
-// Text returns the prompt as engines read it.
+// Text returns the prompt as the text that engines read.
 func (a Arrival) Text() []byte {
 	messages := make([]route.Message, 0, len(a.Messages))
 	for _, m := range a.Messages {
@@ -239,7 +244,8 @@
 	return text
 }
 
-// Call posts a keyed call to a plain service and returns a line about its answer.
+// Call posts a call with an idempotency key to a plain service and returns a one-line
+// summary of the answer.
 func Call(ctx context.Context, addr netip.AddrPort, org Org, path, key string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+path, strings.NewReader(`{"demo":true}`))
 	if err != nil {
@@ -261,15 +267,15 @@
 		resp.Header.Get("X-Pathhead-Verdict"), resp.Header.Get("Idempotent-Replayed") == "true", bytes.TrimSpace(data)), nil
 }
 
-// The range that [FreePorts] takes from: below the ports that systems give to
-// outgoing connections, which could take one between its choice and its use.
+// The range of ports that [FreePorts] chooses from. It lies below the ephemeral ports,
+// since an outgoing connection could take one of those between its choice and its use.
 const (
 	firstPort = 12000
 	lastPort  = 32000
 )
 
-// FreePorts returns ports of the loopback address that nothing listens on, at
-// and after a random one. It fails if too few are free.
+// FreePorts returns n ports of the loopback address that nothing listens on. It
+// searches upward from a random port and fails if fewer than n are free.
 func FreePorts(n int) ([]int, error) {
 	var out []int
 	port := firstPort + rand.IntN(lastPort-firstPort)
@@ -286,14 +292,14 @@
 			return out, nil
 		}
 	}
-	return nil, fmt.Errorf("only %d of %d ports are free", len(out), n)
+	return nil, fmt.Errorf("found only %d of %d free ports", len(out), n)
 }
 
-// Quantiles are two quantiles of the time to first token in milliseconds.
+// Quantiles holds two quantiles of the time to first token, in milliseconds.
 type Quantiles struct{ P50, P99 float64 }
 
-// Compare sends the same small requests to an engine directly and through a
-// router, in turn, and returns both sides' times to first token.
+// Compare sends the same small requests alternately to an engine and through a router,
+// and returns the times to first token of both.
 func Compare(ctx context.Context, engine, router netip.AddrPort, pairs int) (direct, routed Quantiles, err error) {
 	w := Workloads(time.Minute, 1)["yunfeng-rush"]
 	clients := [2]*Client{NewClient([]netip.AddrPort{engine}, "", 0), NewClient([]netip.AddrPort{router}, "", 0)}
@@ -305,7 +311,7 @@
 		for side, c := range clients {
 			r := c.Do(ctx, a)
 			if !r.OK() {
-				return direct, routed, fmt.Errorf("side %d: %+v", side, r)
+				return direct, routed, fmt.Errorf("request on side %d (0 is direct, 1 is routed) failed: %+v", side, r)
 			}
 			record(hists[side], r.FirstToken)
 		}
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,4 +1,5 @@
-// Package load plays seeded workloads against pathhead's doors and reports what
-// callers saw. Arrivals are open-loop: a slow answer does not hold the next
-// request back, and waits count from when a request was due.
+// Package load generates seeded workloads, sends them to pathhead's routers and
+// reports what the callers observed. The load is open-loop: requests are sent
+// when they are due, whether or not earlier ones have been answered, and their
+// times count from then.
 package load
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Read returns the reports in files that [Report] values were added to as JSON.
+// Read returns the reports in files of concatenated JSON [Report] values.
 func Read(files ...string) ([]Report, error) {
 	var out []Report
 	for _, name := range files {
@@ -37,14 +37,15 @@
 	return out, nil
 }
 
-// The size of a plot and of its bars.
+// The sizes of a plot and, in points, of its bars.
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 4 * vg.Inch
 	barWidth   = 24
 )
 
-// Plot draws the median 99th percentile of the time to first token of each label as bars.
+// Plot draws a bar for each label: the median over its runs of the 99th percentile of
+// the time to first token.
 func Plot(file string, reports []Report) error {
 	p := plot.New()
 	p.Title.Text = "Time to first token, 99th percentile"
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -13,7 +13,7 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// Report sums up what all callers of one run saw. Times are in milliseconds.
+// Report summarises what all callers of one run observed. Times are in milliseconds.
 type Report struct {
 	Label     string  `json:"label"`
 	Workload  string  `json:"workload"`
@@ -28,17 +28,18 @@
 	TTFT99    float64 `json:"ttft99"`
 	Total99   float64 `json:"total99"`
 	Refusal99 float64 `json:"refusal99"`
-	// HitRate is the share of prompt tokens that came from caches, Bound what one
-	// cache that forgets nothing would give.
+	// HitRate is the fraction of prompt tokens that came from caches. Bound is the
+	// fraction that a single cache without evictions would give.
 	HitRate float64 `json:"hitRate"`
 	Bound   float64 `json:"bound"`
-	// Wasted is the prompt tokens computed again that such a cache would have held.
+	// Wasted is the number of prompt tokens that were computed although such a cache
+	// would have held them.
 	Wasted int64          `json:"wasted"`
 	Orgs   []OrgReport    `json:"orgs"`
 	Codes  map[string]int `json:"codes"`
 }
 
-// OrgReport is one organisation's part of a report.
+// OrgReport holds one organisation's figures in a report.
 type OrgReport struct {
 	Org      string  `json:"org"`
 	Requests int     `json:"requests"`
@@ -47,7 +48,8 @@
 	TTFT99   float64 `json:"ttft99"`
 }
 
-// The range of the histograms: one microsecond to ten minutes, three digits.
+// The range of the histograms, from one microsecond to ten minutes, and their
+// significant digits.
 const (
 	histLow    = 1
 	histHigh   = int64(10 * time.Minute / time.Microsecond)
@@ -56,15 +58,18 @@
 
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(histLow, histHigh, histDigits) }
 
+// record adds a duration to a histogram, clamped to its range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), histLow), histHigh))
 }
 
+// ms returns a quantile, given in percent, in milliseconds.
 func ms(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// Summarise makes a report of the part of a run that was due at skip or later.
+// Summarise reports on the requests of a run that were due at skip or later; earlier
+// ones fill the caches only.
 func Summarise(label string, w Workload, seed uint64, arrivals []Arrival, results []Result, skip time.Duration) Report {
 	results = slices.DeleteFunc(slices.Clone(results), func(r Result) bool { return r.Due < skip })
 	rep := Report{Label: label, Workload: w.Name, Seed: seed, Requests: len(results), Codes: make(map[string]int)}
@@ -104,11 +109,13 @@
 	return rep
 }
 
+// orgTotals accumulates one organisation's figures.
 type orgTotals struct {
 	OrgReport
 	ttft *hdrhistogram.Histogram
 }
 
+// count adds one result to the counts of outcomes and codes.
 func (rep *Report) count(r Result) {
 	switch {
 	case r.OK():
@@ -133,9 +140,9 @@
 	}
 }
 
-// IdealCacheHits returns, of the requests due at skip or later, the prompt tokens that one
-// cache which forgets nothing and saw all arrivals would answer from, and all
-// prompt tokens.
+// IdealCacheHits returns two counts of prompt tokens over the requests due at skip or
+// later: those that a single cache without evictions would hold, which sees all
+// arrivals in order, and all of them.
 func IdealCacheHits(arrivals []Arrival, skip time.Duration) (cached, all int64) {
 	seen := make(map[route.Block]bool)
 	for _, a := range arrivals {
@@ -154,7 +161,8 @@
 	return cached, all
 }
 
-// Markdown writes reports as a table, with the median and the range of each label's runs.
+// Markdown writes reports as a table with the medians of each label's runs, and for some
+// columns the range.
 func Markdown(w io.Writer, reports []Report) error {
 	fmt.Fprintln(w, "| policy | runs | answered | TTFT p50 ms | TTFT p99 ms (range) | hit rate | of bound | wasted tokens (range) | cut | wrong |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|")
@@ -180,7 +188,7 @@
 	return nil
 }
 
-// groupByLabel gathers the reports of each label, in the order the labels first come.
+// groupByLabel groups reports by label, in the order in which the labels first occur.
 func groupByLabel(reports []Report) [][]Report {
 	var out [][]Report
 	at := make(map[string]int)
@@ -196,6 +204,7 @@
 	return out
 }
 
+// minMedianMax returns the least, the median and the greatest of f over reports.
 func minMedianMax(reports []Report, f func(Report) float64) (lo, mid, hi float64) {
 	values := make([]float64, 0, len(reports))
 	for _, r := range reports {
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -16,7 +16,7 @@
 	Content string `json:"content"`
 }
 
-// Arrival is one request of a workload, due at a time after its start.
+// Arrival is one request of a workload. Due is its time after the workload's start.
 type Arrival struct {
 	Due       time.Duration
 	Org       string
@@ -30,7 +30,8 @@
 	Name string
 	// Rate is its mean requests per second.
 	Rate float64
-	// Topics is the number of second levels it uses (carriers' or syllabus' rules), Subtopics of third levels under each.
+	// Topics is the number of second-level texts it uses (a carrier's or a syllabus's
+	// rules), Subtopics the number of third-level texts under each.
 	Topics    int
 	Subtopics int
 }
@@ -38,21 +39,23 @@
 // APIKey returns the organisation's API key in the example configurations.
 func (o Org) APIKey() string { return "demo-" + o.Name }
 
-// Workload describes requests whose prompts nest: preamble, topic, subtopic, case.
+// Workload describes requests whose prompts have four nested levels: preamble, topic,
+// subtopic and case. Prompts with the same first levels share a prefix.
 type Workload struct {
 	Name     string
 	Model    string
 	Orgs     []Org
 	Duration time.Duration
-	// Lengths of the four levels in tokens of four bytes.
+	// The lengths of the four levels, in tokens of four bytes.
 	Preamble, Topic, Subtopic, Case int
 	MaxTokens                       int
-	// Skew is the Zipf exponent over topics; ShiftEvery is how often which topics are hot changes.
+	// Skew is the Zipf exponent of the distribution of topics. After every ShiftEvery,
+	// other topics become the frequent ones; zero is never.
 	Skew       float64
 	ShiftEvery time.Duration
-	// Surges multiply an organisation's rate for a while.
+	// Surges raise the rates of single organisations for a time.
 	Surges []Surge
-	// Ramp multiplies all rates, growing linearly from 1 to this; zero is none.
+	// Ramp is a factor on all rates that grows linearly from 1 to this value; zero is none.
 	Ramp float64
 }
 
@@ -63,7 +66,9 @@
 	Begin, End time.Duration
 }
 
-// Workloads returns the workloads by name: each deployment's busy hour, calm, and a surge.
+// Workloads returns the workloads by name: the busy hour of each deployment, variants of
+// yunfeng's at a quarter of its rates without and with a surge, and a variant of guild's
+// with longer cases and answers.
 func Workloads(duration time.Duration, scale float64) map[string]Workload {
 	y := yunfeng(duration, scale)
 	calm := yunfeng(duration, scale/4)
@@ -83,6 +88,7 @@
 	return out
 }
 
+// yunfeng returns the busy hour of a deployment for airlines.
 func yunfeng(d time.Duration, scale float64) Workload {
 	w := Workload{
 		Name: "yunfeng-rush", Model: "desk-7b", Duration: d,
@@ -98,6 +104,7 @@
 	return w
 }
 
+// guild returns the busy hour of a deployment for music studios.
 func guild(d time.Duration, scale float64) Workload {
 	w := Workload{
 		Name: "guild-signup", Model: "tutor-7b", Duration: d,
@@ -113,9 +120,10 @@
 	return w
 }
 
-// largeOrgs is how many of the eight organisations are large.
+// largeOrgs is the number of large organisations among the eight of a deployment.
 const largeOrgs = 3
 
+// newOrg returns the i-th organisation of a deployment; the first ones are large.
 func newOrg(name string, i int, scale float64, topics, subtopics int) Org {
 	o := Org{Name: name, Rate: 4 * scale, Topics: topics / 2, Subtopics: subtopics / 2}
 	if i < largeOrgs {
@@ -124,7 +132,7 @@
 	return o
 }
 
-// Arrivals draws the workload's requests from a seed, in the order they are due.
+// Arrivals generates the workload's requests from a seed, ordered by due time.
 func (w Workload) Arrivals(seed uint64) []Arrival {
 	var out []Arrival
 	for i, o := range w.Orgs {
@@ -137,7 +145,8 @@
 	return out
 }
 
-// orgArrivals thins a Poisson process at the organisation's peak rate to its rate at each moment.
+// orgArrivals generates one organisation's requests. It draws a Poisson process at the
+// organisation's peak rate and thins it to the rate at each time.
 func (w Workload) orgArrivals(rng *rand.Rand, o Org) []Arrival {
 	var out []Arrival
 	peak := o.Rate * max(1, w.Ramp)
@@ -160,6 +169,7 @@
 	}
 }
 
+// rate returns an organisation's requests per second at a time.
 func (w Workload) rate(o Org, at time.Duration) float64 {
 	rate := o.Rate
 	if w.Ramp > 1 {
@@ -173,6 +183,7 @@
 	return rate
 }
 
+// arrival draws the levels of one prompt.
 func (w Workload) arrival(rng *rand.Rand, o Org, zipf zipf, due time.Duration) Arrival {
 	shift := 0
 	if w.ShiftEvery > 0 {
@@ -191,9 +202,10 @@
 	}
 }
 
+// words is the vocabulary of generated text.
 var words = strings.Fields("fare seat route child bag miles change fee night gate line stop note scale bow key hand time play hear")
 
-// FillerText returns about n tokens of text that its title alone decides.
+// FillerText returns about n tokens of text that depends on the title only.
 func FillerText(title string, n int) string {
 	var b strings.Builder
 	b.WriteString(title)
@@ -210,7 +222,8 @@
 	return b.String()
 }
 
-// zipf draws small numbers more often than large ones.
+// zipf draws numbers from 0 to n-1 with Zipf-distributed frequencies; smaller ones are
+// more frequent.
 type zipf struct{ cumulative []float64 }
 
 func newZipf(n int, skew float64) zipf {
