--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what pathhead's programs share at their start: flags for
-// logs and keys, the parsing of settings, and the end by a signal.
+// Package cli holds what pathhead's programs share at startup: flags for logging and
+// credentials, the parsing of settings, reloads, and termination by signals.
 package cli
 
 import (
@@ -36,7 +36,7 @@
 	ExitUnknown  = 4
 )
 
-// Version returns the version that the build recorded.
+// Version returns the module version recorded in the build information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
@@ -45,7 +45,7 @@
 	return info.Main.Version
 }
 
-// CommonFlags are the flags of every long-running program.
+// CommonFlags holds the flags of every long-running program.
 type CommonFlags struct {
 	LogLevel  slog.Level       `help:"Least level that is logged: debug, info, warn or error." default:"info" env:"PATHHEAD_LOG_LEVEL"`
 	LogFormat string           `help:"Form of the log: text or json." enum:"text,json" default:"text" env:"PATHHEAD_LOG_FORMAT"`
@@ -53,7 +53,8 @@
 	Version   kong.VersionFlag `help:"Print the version and end."`
 }
 
-// Logger returns the log that the flags ask for, on standard error.
+// Logger returns a logger with the level and format of the flags, which writes to
+// standard error.
 func (c CommonFlags) Logger(process string) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: c.LogLevel}
 	var h slog.Handler = slog.NewTextHandler(os.Stderr, opts)
@@ -63,20 +64,20 @@
 	return slog.New(h).With("process", process)
 }
 
-// CrashFlags are the flags that bound what requests may do to targets.
+// CrashFlags holds the flags that limit how many targets one request may crash.
 type CrashFlags struct {
 	CrashTargets int           `help:"Targets that may end under copies of one request before it is held back (2 to 8)." default:"3" env:"PATHHEAD_CRASH_TARGETS"`
 	CrashHold    time.Duration `help:"How long such a request is held back, for each further target twice as long, at most four times (1s to 1h)." default:"2m" env:"PATHHEAD_CRASH_HOLD"`
 }
 
-// CrashSettings returns the bounds that the flags set.
+// CrashSettings returns the default settings with the values of the flags.
 func (c CrashFlags) CrashSettings() route.CrashSettings {
 	s := route.DefaultCrashSettings()
 	s.Targets, s.Hold = c.CrashTargets, c.CrashHold
 	return s
 }
 
-// CredentialFlags are the flags of a program's certificates.
+// CredentialFlags holds the flags for the peer certificate and for access to the platform.
 type CredentialFlags struct {
 	PeerCert  string `help:"Certificate file (PEM) for mutual TLS with peers and operators; read again when it changes." env:"PATHHEAD_PEER_CERT" placeholder:"FILE"`
 	PeerKey   string `help:"Key file of the peers' certificate." env:"PATHHEAD_PEER_KEY" placeholder:"FILE"`
@@ -86,13 +87,14 @@
 	Region    string `help:"Region of the platform's services." env:"AWS_REGION" default:"local"`
 }
 
-// PeerTLS returns the configurations for serving and calling peers, or nil without certificates.
+// PeerTLS returns the TLS configurations for serving and calling peers. Both are nil if
+// no certificate is configured.
 func (k CredentialFlags) PeerTLS() (server, client *tls.Config, err error) {
 	if k.PeerCert == "" && k.PeerKey == "" && k.PeerCA == "" {
 		return nil, nil, nil
 	}
 	if k.PeerCert == "" || k.PeerKey == "" || k.PeerCA == "" {
-		return nil, nil, errs.Errorf("peer-cert, peer-key and peer-ca belong together")
+		return nil, nil, errs.Errorf("peer-cert, peer-key and peer-ca must be set together")
 	}
 	pool, err := loadCAPool(k.PeerCA)
 	if err != nil {
@@ -116,6 +118,7 @@
 	return server, client, nil
 }
 
+// loadCAPool reads the certificates of an authority file.
 func loadCAPool(file string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -123,12 +126,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, errs.Errorf("peer authority: %s holds no certificate", file)
+		return nil, errs.Errorf("peer authority: %s contains no PEM certificate", file)
 	}
 	return pool, nil
 }
 
-// ServerTLS returns a configuration with one certificate that is read again when it changes, or nil without files.
+// ServerTLS returns a configuration with one certificate that is reloaded when its file
+// changes. It is nil if no file is named.
 func ServerTLS(cert, key string) (*tls.Config, error) {
 	if cert == "" && key == "" {
 		return nil, nil
@@ -143,15 +147,17 @@
 	}, nil
 }
 
-// ReloadingCertificate is a certificate that is read again when its file changes.
+// ReloadingCertificate is a certificate that is reloaded when its file changes.
 type ReloadingCertificate struct {
 	cert, key string
 
-	mu      sync.Mutex
-	loaded  *tls.Certificate
+	mu     sync.Mutex
+	loaded *tls.Certificate
+	// modTime is the modification time of the loaded file.
 	modTime time.Time
 }
 
+// load returns the current certificate and reloads it if the file has changed.
 func (p *ReloadingCertificate) load() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +177,8 @@
 	return p.loaded, nil
 }
 
-// currentOr keeps the certificate in use while a new one can't be read.
+// currentOr returns the loaded certificate if there is one, otherwise err. A certificate
+// thus stays in use while a new one can't be read.
 func (p *ReloadingCertificate) currentOr(err error) (*tls.Certificate, error) {
 	if p.loaded != nil {
 		return p.loaded, nil
@@ -179,7 +186,8 @@
 	return nil, err
 }
 
-// Parse reads flags and environment into settings; on a fault it prints it and ends with ExitUsage.
+// Parse reads flags and environment variables into settings. If they are invalid, it
+// prints the error and exits with [ExitUsage].
 func Parse(settings any, description string) *kong.Context {
 	return kong.Parse(settings, append(Mappers(),
 		kong.Description(description),
@@ -195,7 +203,7 @@
 	)...)
 }
 
-// Mappers returns the options that teach kong netip addresses.
+// Mappers returns the kong options for decoding [netip.AddrPort] values.
 func Mappers() []kong.Option {
 	return []kong.Option{
 		kong.TypeMapper(reflect.TypeFor[netip.AddrPort](), kong.MapperFunc(decodeAddr)),
@@ -212,31 +220,33 @@
 	}
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return fmt.Errorf("%q is not an IP number and port such as 10.0.0.5:8080", text)
+		return fmt.Errorf("%q is not an IP address and port such as 10.0.0.5:8080", text)
 	}
 	target.Set(reflect.ValueOf(addr))
 	return nil
 }
 
-// CheckURLs returns one error that lists every URL which is not an absolute HTTP one, by its flag.
+// CheckURLs takes URLs by their flags and returns one error that lists all that are not
+// absolute HTTP or HTTPS URLs.
 func CheckURLs(urls map[string]string) error {
 	var invalid []error
 	for _, name := range slices.Sorted(maps.Keys(urls)) {
 		u, err := url.Parse(urls[name])
 		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			invalid = append(invalid, errs.Errorf("%s is %q, must be a URL such as http://10.0.0.9:8000", name, urls[name]))
+			invalid = append(invalid, errs.Errorf("%s is %q, must be an absolute URL such as http://10.0.0.9:8000", name, urls[name]))
 		}
 	}
 	return errors.Join(invalid...)
 }
 
-// SignalContext returns a context that ends at SIGTERM or SIGINT, which begin a planned stop.
+// SignalContext returns a context that is cancelled by SIGTERM or SIGINT, the signals for
+// a planned stop.
 func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// Run runs a program whose settings are valid until a signal stops it; where only
-// a check of them was asked for, it says so and ends.
+// Run calls run with a context that SIGTERM and SIGINT cancel. With the check flag it
+// only prints that the settings are valid; callers validate them before.
 func (c CommonFlags) Run(run func(context.Context) error) error {
 	if c.Check {
 		fmt.Println("the settings are valid")
@@ -247,7 +257,7 @@
 	return run(ctx)
 }
 
-// Exit prints an error and ends the program with a code.
+// Exit prints an error to standard error and exits with a code.
 func Exit(code int, err error) {
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(code)
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -8,12 +8,13 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// maxPendingLogLines is the number of lines that may wait to be written; more are dropped and counted.
+// maxPendingLogLines bounds the log lines that wait to be written; further ones are
+// dropped and counted.
 const maxPendingLogLines = 2048
 
-// StdoutLogger returns a log of one JSON line for each event on standard output.
-// It never holds the process up: lines that can't be written in time are dropped,
-// and dropped hears how many. Closing writes out what waits.
+// StdoutLogger returns a logger that writes one line for each event to standard output,
+// as JSON or text. It never blocks: lines that can't be written in time are dropped, and
+// dropped is called with their number. Closing writes the pending lines.
 func (c CommonFlags) StdoutLogger(process string, dropped func(n int)) (*slog.Logger, io.Closer) {
 	w := diode.NewWriter(os.Stdout, maxPendingLogLines, 0, dropped)
 	opts := &slog.HandlerOptions{Level: c.LogLevel, ReplaceAttr: dropTime}
@@ -24,7 +25,7 @@
 	return slog.New(h).With("process", process), w
 }
 
-// dropTime leaves out the time of logging: events carry the time at which they happened.
+// dropTime removes the time of logging, since events have the time of their occurrence.
 func dropTime(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.TimeKey {
 		return slog.Attr{}
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// settingsPollInterval is the time between two looks at a settings file, which may
-// change without a signal.
+// settingsPollInterval is the interval at which a settings file is checked for changes
+// that no signal announces.
 const settingsPollInterval = 2 * time.Second
 
-// WatchFile calls changed after each SIGHUP, and when the file was written
-// without one, until ctx ends. From then on a SIGHUP is left without effect: it
-// must not end a process that finishes its work.
+// WatchFile calls changed after each SIGHUP, and when the file changes without one, until
+// ctx is done. SIGHUP stays caught and is ignored after that, since its default action
+// would terminate a process that still drains.
 func WatchFile(ctx context.Context, path string, changed func()) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -38,13 +38,13 @@
 	}()
 }
 
-// fileVersion tells two states of a file apart.
+// fileVersion distinguishes versions of a file by size and modification time.
 type fileVersion struct {
 	size    int64
 	modTime time.Time
 }
 
-// readFileVersion returns a file's state, zero while it can't be read.
+// readFileVersion returns a file's current version, or zero if the file can't be read.
 func readFileVersion(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hang-up asks for another look at the file, and one that comes during a planned
-// stop, when nobody looks any more, does not end the process.
+// TestWatchFileHangUp checks that SIGHUP triggers a reload, and that one during a planned
+// stop, when the file is no longer watched, does not terminate the process.
 func TestWatchFileHangUp(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	require.NoError(t, os.WriteFile(path, []byte("1"), 0o600))
@@ -22,7 +22,8 @@
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	<-changed
 	cancel()
-	// Without the mend the signal's handling has ended by then, and the test with it.
+	// Leaves time for the watcher to return. If it unregistered the signal then, SIGHUP would
+	// terminate the test.
 	time.Sleep(100 * time.Millisecond)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	time.Sleep(100 * time.Millisecond)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock tells the time as it passes for the world outside the machine.
+// Package clock provides clocks that include the time in which the machine is suspended.
 package clock
 
 import (
@@ -8,26 +8,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the present moment. Moments of one clock are compared with each other alone.
+// Clock returns the current time. Times of one clock may be compared only with each other.
 //
-// What a process believes for a time (a lease, a confirmation, a list, a peer's word) and what it
-// owes within a time (a caller's budget) goes on while its machine is suspended, for the others do.
-// The steady clock of [time.Now] stands still meanwhile, so a process that wakes would take all of it
-// for as fresh as before. Timers stand still too: what they wake looks at a Clock.
+// Leases, confirmations, lists, peers' updates and callers' deadlines expire while the machine of a
+// process is suspended, since the other processes go on. The monotonic clock of [time.Now] stops
+// meanwhile, so a resumed process would consider all of these as fresh as before. Timers stop as
+// well, so code that a timer wakes must check a Clock.
 type Clock func() time.Time
 
-// Monotonic is the clock of [time.Now], which does not count the time in which the machine is suspended.
+// Monotonic is the clock of [time.Now], which does not count the time in which the machine is
+// suspended.
 func Monotonic() time.Time { return time.Now() }
 
-// Since returns the time since a moment of the clock.
+// Since returns the time elapsed since t, which the same clock returned.
 func (c Clock) Since(t time.Time) time.Duration { return c().Sub(t) }
 
-// BootTime returns a clock that counts the time in which the machine is suspended, from now on, and
-// whether the system has one. Without one it is [Steady].
+// BootTime returns a clock that also counts the time in which the machine is suspended, from this
+// call on, and true. If the system has no such clock, it returns [Monotonic] and false.
 //
-// Within a millisecond the time suspended is read once, by three calls to the system (0.7 µs); other
-// readings cost what those of [time.Now] do and a little (0.1 µs, BenchmarkBootTime). A process may be
-// suspended between a look at any clock and what it does then, so a millisecond adds nothing to that.
+// The suspended time is read at most once per millisecond, by three system calls (0.7 µs). Other
+// readings cost little more than [time.Now] (0.1 µs). A suspension may thus be noticed a millisecond
+// late. This adds no new race: a process can be suspended between reading any clock and acting on it.
 func BootTime() (c Clock, countsSuspension bool) {
 	initialOffset, ok := suspendedSinceBoot()
 	if !ok {
@@ -36,19 +37,20 @@
 	return newBootClock(initialOffset).now, true
 }
 
-// bootClock is the clock of the machine. How far the clock that counts suspended time is ahead of the
-// one that does not is the time suspended since the machine's start.
+// bootClock adds the suspended time to the monotonic clock. The suspended time since boot is the
+// difference between CLOCK_BOOTTIME, which counts it, and CLOCK_MONOTONIC, which does not.
 type bootClock struct {
 	initialOffset time.Duration
-	// suspended is the longest time suspended that was read, in nanoseconds. It never falls: two
-	// readings are not taken at one moment, so that it may seem to by some microseconds.
+	// suspended is the longest suspended time that was read, in nanoseconds. It never decreases: the
+	// two system clocks are not read at the same instant, so readings vary by some microseconds.
 	suspended atomic.Int64
-	// refreshedAt is when it was read, in nanoseconds of the steady clock since base.
+	// refreshedAt is the time at which suspended was last read, in nanoseconds of the monotonic clock
+	// since base.
 	refreshedAt atomic.Int64
 	base        time.Time
 }
 
-// refreshInterval is the least time between two readings of the time suspended.
+// refreshInterval is the least time between two readings of the suspended time.
 const refreshInterval = time.Millisecond
 
 func newBootClock(initialOffset time.Duration) *bootClock {
@@ -57,6 +59,7 @@
 	return m
 }
 
+// now returns the monotonic time plus the suspended time.
 func (m *bootClock) now() time.Time {
 	now := time.Now()
 	since := int64(now.Sub(m.base))
@@ -66,6 +69,7 @@
 	return now.Add(time.Duration(m.suspended.Load()))
 }
 
+// refresh reads the suspended time and stores it if it has grown.
 func (m *bootClock) refresh() {
 	d, ok := suspendedSinceBoot()
 	if !ok || d-m.initialOffset < minSuspension {
@@ -79,12 +83,12 @@
 	}
 }
 
-// minSuspension is the least time suspended that counts: between two readings the process may
-// be put aside, which is no suspension.
+// minSuspension is the least difference that counts as a suspension. The scheduler may preempt the
+// process between the readings of the two system clocks, which also makes them differ.
 const minSuspension = 20 * time.Millisecond
 
-// suspendedSinceBoot returns how far the clock that counts suspended time is ahead of the steady one. It
-// reads the steady one on both sides of it, and passes over a reading that was interrupted.
+// suspendedSinceBoot returns the difference between CLOCK_BOOTTIME and CLOCK_MONOTONIC. It reads the
+// latter before and after the former, and discards a reading during which the process was preempted.
 func suspendedSinceBoot() (d time.Duration, ok bool) {
 	for range maxReadAttempts {
 		before, ok := readClock(unix.CLOCK_MONOTONIC)
@@ -103,9 +107,10 @@
 	return 0, false
 }
 
-// maxReadAttempts is how often a reading that was interrupted is taken again.
+// maxReadAttempts is the number of readings that are tried until one is undisturbed.
 const maxReadAttempts = 3
 
+// readClock returns the time of a system clock and whether the system has it.
 func readClock(id int32) (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the machine is not suspended its clock goes as the steady one does.
+// TestBootTime checks that the clock advances as the monotonic one while the machine is not
+// suspended.
 func TestBootTime(t *testing.T) {
 	c, counts := BootTime()
 	require.True(t, counts)
@@ -16,8 +17,8 @@
 	require.InDelta(t, time.Since(steady), c.Since(begun), float64(5*time.Millisecond))
 }
 
-// Time that the machine was suspended counts once it is long enough to be no accident of
-// reading, and never goes back.
+// TestBootTimeSuspended checks that suspended time counts if it is longer than a preemption while
+// the clocks are read, and that the clock never goes back.
 func TestBootTimeSuspended(t *testing.T) {
 	now, ok := suspendedSinceBoot()
 	require.True(t, ok)
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -1,4 +1,4 @@
-// Package door opens the listening addresses of pathhead's programs.
+// Package door opens the listeners of pathhead's programs and writes HTTP answers.
 package door
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Listener is an open listening address with what serves it.
+// Listener is an open listening address and the functions that serve and close it.
 type Listener struct {
-	// Serve serves until the door is closed.
+	// Serve serves until Close is called.
 	Serve func() error
 	Close func()
 }
 
-// OpenAll opens doors, all of them or none.
+// OpenAll opens listeners. If one fails, it closes those already open.
 func OpenAll(openers ...func() (Listener, error)) ([]Listener, error) {
 	var doors []Listener
 	for _, open := range openers {
@@ -35,18 +35,18 @@
 	return doors, nil
 }
 
-// CloseAll closes doors.
+// CloseAll closes listeners.
 func CloseAll(doors []Listener) {
 	for _, d := range doors {
 		d.Close()
 	}
 }
 
-// Option changes a door.
+// Option wraps the listener of an address.
 type Option func(net.Listener) net.Listener
 
-// WithConnWrapper sets a function that gets each connection before it is served, and
-// returns the one to serve in its place.
+// WithConnWrapper sets a function that receives each accepted connection and returns the
+// one to serve in its place.
 func WithConnWrapper(wrap func(net.Conn) net.Conn) Option {
 	return func(l net.Listener) net.Listener { return wrappingListener{l, wrap} }
 }
@@ -65,11 +65,11 @@
 	return l.wrap(c), nil
 }
 
-// Listen listens on an address; cfg is nil for plain TCP.
+// Listen listens on a TCP address, with TLS if cfg is not nil.
 func Listen(addr netip.AddrPort, cfg *tls.Config, opts ...Option) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return nil, errs.Errorf("door %s: %w", addr, err)
+		return nil, errs.Errorf("listener %s: %w", addr, err)
 	}
 	for _, opt := range opts {
 		l = opt(l)
@@ -80,8 +80,8 @@
 	return l, nil
 }
 
-// HTTP opens a door for a server; cfg is nil for plain TCP. What the server has to
-// say of callers' connections goes to the log at debug level.
+// HTTP opens a listener for an HTTP server, with TLS if cfg is not nil. The server's
+// errors on callers' connections are logged at debug level.
 func HTTP(addr netip.AddrPort, s *http.Server, cfg *tls.Config, log *slog.Logger, opts ...Option) (Listener, error) {
 	l, err := Listen(addr, cfg, opts...)
 	if err != nil {
@@ -90,25 +90,26 @@
 	s.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelDebug)
 	serve := func() error {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			return errs.Errorf("door %s: %w", addr, err)
+			return errs.Errorf("listener %s: %w", addr, err)
 		}
 		return nil
 	}
 	return Listener{Serve: serve, Close: func() { s.Close() }}, nil
 }
 
-// WriteJSON answers with a value as JSON and its length, so that a cut answer is
-// seen. A value that does not encode is a fault of the program.
+// WriteJSON answers with a value as JSON and with its length, so that callers detect a
+// truncated answer. It panics if the value can't be encoded, which is a bug.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic("door: an answer does not encode: " + err.Error())
+		panic("door: can't encode an answer: " + err.Error())
 	}
-	// An error says that the caller is gone, and nobody is left to tell.
+	// An error means that the caller has disconnected, so there is nobody to report it to.
 	_ = WriteBody(w, status, "application/json", data)
 }
 
-// WriteBody answers with a whole body and its length, so that a cut one is seen.
+// WriteBody answers with a complete body and its length, so that callers detect a
+// truncated one.
 func WriteBody(w http.ResponseWriter, status int, contentType string, data []byte) error {
 	h := w.Header()
 	h.Set("Content-Type", contentType)
--- a/internal/programs/programs.go
+++ b/internal/programs/programs.go
@@ -1,4 +1,4 @@
-// Package programs builds pathhead's programs for tests on real processes.
+// Package programs builds pathhead's programs for tests that run real processes.
 package programs
 
 import (
@@ -9,12 +9,12 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// envDir names a folder in which the test command has built the programs already.
+// envDir is the environment variable that names a folder of programs already built.
 const envDir = "PATHHEAD_BIN"
 
-// Main runs a package's tests with dir set to a folder that has the programs of
-// the packages named, which it builds if the test command did not. It returns
-// the code to exit with.
+// Main runs a package's tests with dir set to a folder that contains the programs of the
+// given packages. Unless the environment names such a folder, it builds them into a
+// temporary one. It returns the exit code.
 func Main(m *testing.M, dir *string, packages ...string) (int, error) {
 	if *dir = os.Getenv(envDir); *dir != "" {
 		return m.Run(), nil
@@ -28,7 +28,7 @@
 	build := exec.Command("go", append([]string{"build", "-o", tempDir}, packages...)...)
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
-		return 1, errs.Errorf("building %v: %w", packages, err)
+		return 1, errs.Errorf("building %v failed: %w", packages, err)
 	}
 	return m.Run(), nil
 }
