--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,22 +12,22 @@
 func TestBootTime(t *testing.T) {
 	c, counts := BootTime()
 	require.True(t, counts)
-	begun, steady := c(), time.Now()
+	start, monotonicStart := c(), time.Now()
 	time.Sleep(30 * time.Millisecond)
-	require.InDelta(t, time.Since(steady), c.Since(begun), float64(5*time.Millisecond))
+	require.InDelta(t, time.Since(monotonicStart), c.Since(start), float64(5*time.Millisecond))
 }
 
 // TestBootTimeSuspended checks that suspended time counts if it is longer than a preemption while
 // the clocks are read, and that the clock never goes back.
 func TestBootTimeSuspended(t *testing.T) {
-	now, ok := suspendedSinceBoot()
+	offset, ok := suspendedSinceBoot()
 	require.True(t, ok)
-	m := newBootClock(now - 5*time.Second)
+	m := newBootClock(offset - 5*time.Second)
 	require.InDelta(t, 5*time.Second, time.Until(m.now()), float64(10*time.Millisecond))
 	m.initialOffset += 3 * time.Second
 	time.Sleep(refreshInterval)
 	require.InDelta(t, 5*time.Second, time.Until(m.now()), float64(10*time.Millisecond))
-	m = newBootClock(now - minSuspension/2)
+	m = newBootClock(offset - minSuspension/2)
 	require.InDelta(t, 0, time.Until(m.now()), float64(5*time.Millisecond))
 }
 
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -23,21 +23,21 @@
 
 // OpenAll opens listeners. If one fails, it closes those already open.
 func OpenAll(openers ...func() (Listener, error)) ([]Listener, error) {
-	var doors []Listener
+	var listeners []Listener
 	for _, open := range openers {
 		d, err := open()
 		if err != nil {
-			CloseAll(doors)
+			CloseAll(listeners)
 			return nil, err
 		}
-		doors = append(doors, d)
+		listeners = append(listeners, d)
 	}
-	return doors, nil
+	return listeners, nil
 }
 
 // CloseAll closes listeners.
-func CloseAll(doors []Listener) {
-	for _, d := range doors {
+func CloseAll(listeners []Listener) {
+	for _, d := range listeners {
 		d.Close()
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -143,7 +143,7 @@
 // IdealCacheHits returns two counts of prompt tokens over the requests due at skip or
 // later: those that a single cache without evictions would hold, which sees all
 // arrivals in order, and all of them.
-func IdealCacheHits(arrivals []Arrival, skip time.Duration) (cached, all int64) {
+func IdealCacheHits(arrivals []Arrival, skip time.Duration) (cached, total int64) {
 	seen := make(map[route.Block]bool)
 	for _, a := range arrivals {
 		text := a.Text()
@@ -155,10 +155,10 @@
 			seen[b] = true
 		}
 		if a.Due >= skip {
-			all += int64(route.Tokens(len(text)))
+			total += int64(route.Tokens(len(text)))
 		}
 	}
-	return cached, all
+	return cached, total
 }
 
 // Markdown writes reports as a table with the medians of each label's runs, and for some
