--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -286,7 +286,7 @@
 		panic("soak: a path of its own does not parse")
 	}
 	// A POST is never sent again by the client itself once bytes of it were written.
-	said := platformtest.Ask{ID: a.ID, Key: a.Key, Patience: left}
+	said := platformtest.RequestInfo{ID: a.ID, Key: a.Key, Timeout: left}
 	if a.Parts != "" {
 		said.Model, said.Parts, said.PromptTokens, said.AnswerTokens = modelName, a.Parts, promptTokens, answerTokens
 	}
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -52,7 +52,7 @@
 		},
 		Services: []platformtest.Service{
 			{Name: engineName, HealthPath: "/healthz", MaxConns: 300, Engine: &platformtest.Engine{
-				Slots: 8, CacheTokens: 100000, TokenBytes: 1000, LinkMbps: 10000, CacheCalls: 8,
+				Slots: 8, CacheTokens: 100000, TokenBytes: 1000, LinkMbps: 10000, CacheReaders: 8,
 				Models: []platformtest.ModelName{{Name: modelName}},
 			}},
 			{Name: plainName, HealthPath: "/healthz", MaxConns: 100},
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -44,7 +44,7 @@
 	defer s.begin(Trouble{Scope: OfTarget, Kind: RequestDeadly, Subject: r.ID})()
 	mine := s.claim(sl)
 	s.end(sl, r)
-	time.AfterFunc(lapseTime, r.Hide)
+	time.AfterFunc(lapseTime, r.Unlist)
 	if !mine {
 		return
 	}
@@ -70,16 +70,16 @@
 		if a == nil || !a.Deadly {
 			continue
 		}
-		if len(ended[r.Body]) >= deadlyEnds && a.Sent.After(known[r.Body].Add(j.Bounds.Contact)) && j.inTouch(a.Node, a.Sent, r.Begun) {
+		if len(ended[r.Body]) >= deadlyEnds && a.Sent.After(known[r.Body].Add(j.Bounds.Contact)) && j.inTouch(a.Node, a.Sent, r.StartedAt) {
 			if late[r.Body]++; late[r.Body] == deadlyMost+1 {
-				j.breach(HeldBack, r.Begun, r.ID, "%d engines had ended under it %s before it was sent", len(ended[r.Body]), a.Sent.Sub(known[r.Body]))
+				j.breach(HeldBack, r.StartedAt, r.ID, "%d engines had ended under it %s before it was sent", len(ended[r.Body]), a.Sent.Sub(known[r.Body]))
 			}
 		}
 		if ended[r.Body] == nil {
 			ended[r.Body] = make(map[string]bool)
 		}
 		if ended[r.Body][r.Replica] = true; len(ended[r.Body]) <= deadlyEnds {
-			known[r.Body] = r.Begun
+			known[r.Body] = r.StartedAt
 		}
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -55,10 +55,10 @@
 		s.failStore(ctx, step, n)
 	case StoreForgets:
 		s.note(Trouble{Scope: OfStore, Kind: StoreForgets})
-		s.store.Forget()
+		s.store.Compact()
 	case StoreReturns:
 		s.note(Trouble{Scope: OfStore, Kind: StoreReturns, Detail: step.Length.String()})
-		s.store.GoBack(step.Length)
+		s.store.RestoreCopy(step.Length)
 	case StoreLink:
 		s.impair(ctx, step, n.link, n.name)
 	case TargetLink:
@@ -185,7 +185,7 @@
 	r := s.replicaAt(sl)
 	defer s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
 	s.end(sl, r)
-	time.AfterFunc(lapseTime, r.Hide)
+	time.AfterFunc(lapseTime, r.Unlist)
 	wait(ctx, step.Length)
 	s.must(s.startTarget(sl, s.newID(r.Service), r.Service, r.Weights(), time.Now()))
 }
@@ -207,7 +207,7 @@
 	r := s.replicaAt(sl)
 	defer s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
 	s.end(sl, r)
-	lapse := time.AfterFunc(lapseTime, r.Hide)
+	lapse := time.AfterFunc(lapseTime, r.Unlist)
 	wait(ctx, step.Length)
 	lapse.Stop()
 	skew := skewTime
@@ -239,14 +239,14 @@
 	}
 	s.swap(old, fresh)
 	if step.Kind == TargetHide {
-		r.Hide()
+		r.Unlist()
 	} else {
 		s.must(r.Drain())
 	}
 	s.target(r.ID, func(t *Target) { t.Leaving = time.Now() })
 	wait(ctx, s.bounds.Drain+step.Length)
 	old.proxy.Close()
-	r.Leave()
+	r.Shutdown()
 	s.target(r.ID, func(t *Target) { t.Ended = time.Now() })
 	wait(ctx, reuseTime)
 	s.must(s.startTarget(old, s.newID(strangeName), strangeName, 0, time.Now()))
@@ -268,8 +268,8 @@
 
 // The faults of grey targets. Those that an engine can't have are bytes of a plain answer.
 var (
-	engineFaults = []platformtest.Fault{platformtest.Shed, platformtest.Failing, platformtest.Dropping, platformtest.Mute, platformtest.Cutting}
-	plainFaults  = append([]platformtest.Fault{platformtest.Surplus, platformtest.Foreign, platformtest.Unframed, platformtest.Garbage}, engineFaults...)
+	engineFaults = []platformtest.Fault{platformtest.Shed, platformtest.Failing, platformtest.Dropping, platformtest.Unresponsive, platformtest.Truncating}
+	plainFaults  = append([]platformtest.Fault{platformtest.ExtraAnswer, platformtest.Foreign, platformtest.Unframed, platformtest.Garbage}, engineFaults...)
 )
 
 // grey has a target fail a part of its requests.
@@ -280,28 +280,28 @@
 	if r.Service == engineName {
 		faults = engineFaults
 	}
-	r.Play(func(*http.Request) platformtest.Fault {
+	r.SetScript(func(*http.Request) platformtest.Fault {
 		if rand.Float64() > greyPart {
-			return platformtest.Sound
+			return platformtest.NoFault
 		}
 		return faults[rand.IntN(len(faults))]
 	})
 	wait(ctx, step.Length)
-	r.Play(nil)
+	r.SetScript(nil)
 }
 
 // delayOrders has a target leave most orders unanswered and carry them out late.
 func (s *site) delayOrders(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
 	defer s.begin(Trouble{Scope: OfOrders, Kind: step.Kind, Subject: r.ID})()
-	defer r.Delay(0)
+	defer r.DelayOrders(0)
 	rng := rand.New(rand.NewPCG(uint64(step.Length), 0))
 	for end := time.Now().Add(step.Length); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, lateEvery) {
 		late := time.Duration(0)
 		if rng.Float64() < latePart {
 			late = leastLate + drawTime(rng, mostLate-leastLate)
 		}
-		r.Delay(late)
+		r.DelayOrders(late)
 	}
 }
 
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -141,14 +141,14 @@
 	for _, r := range j.Runs {
 		a, ok := j.byID[r.ID]
 		if !ok {
-			j.breach(AsSent, r.Begun, r.ID, "no caller sent it")
+			j.breach(AsSent, r.StartedAt, r.ID, "no caller sent it")
 			continue
 		}
 		switch {
 		case r.Method != http.MethodPost, r.URI != a.Path, r.Host != hostName, r.Body != a.Body, r.Parts() != a.Parts:
-			j.breach(AsSent, r.Begun, r.ID, "%s ran %s %s at %s with %d bytes", r.Replica, r.Method, r.URI, r.Host, len(r.Body))
-		case r.Stale, r.Foreign:
-			j.breach(OwnParts, r.Begun, r.ID, "parts of other weights: %t, of another organisation: %t", r.Stale, r.Foreign)
+			j.breach(AsSent, r.StartedAt, r.ID, "%s ran %s %s at %s with %d bytes", r.Replica, r.Method, r.URI, r.Host, len(r.Body))
+		case r.StaleParts, r.CrossTenant:
+			j.breach(OwnParts, r.StartedAt, r.ID, "parts of other weights: %t, of another organisation: %t", r.StaleParts, r.CrossTenant)
 		}
 	}
 }
@@ -162,10 +162,10 @@
 		}
 		runs := j.runsOf[a.ID]
 		if calls[a.Call] += len(runs); len(runs) > 0 && calls[a.Call] > 1 {
-			j.breach(OnceOnly, runs[len(runs)-1].Begun, a.ID, "%d runs of the call", calls[a.Call])
+			j.breach(OnceOnly, runs[len(runs)-1].StartedAt, a.ID, "%d runs of the call", calls[a.Call])
 		}
 		if a.promised() && a.Seal == "" && len(runs) > 0 {
-			j.breach(TrueRefusal, runs[0].Begun, a.ID, "refused with %d, ran at %s", a.Status, runs[0].Replica)
+			j.breach(TrueRefusal, runs[0].StartedAt, a.ID, "refused with %d, ran at %s", a.Status, runs[0].Replica)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		a, ok := j.byID[id]
 		most := map[CallKind]int{ResumeCall: 3, SafeCall: 2}
 		if ok && len(runs) > max(1, most[a.Kind]) {
-			over, last = append(over, id), runs[len(runs)-1].Begun
+			over, last = append(over, id), runs[len(runs)-1].StartedAt
 		}
 	}
 	if len(over) > sendsMost {
@@ -199,8 +199,8 @@
 			continue
 		}
 		told := j.quiet(t.Leaving.Add(-j.Bounds.Contact), t.Leaving, func(t Trouble) bool { return t.Scope == OfStore })
-		if told && j.inTouch(a.Node, a.Sent, r.Begun) {
-			j.breach(LeftAlone, r.Begun, r.ID, "%s sent it %s after %s said that it leaves", a.Node, a.Sent.Sub(t.Leaving), t.ID)
+		if told && j.inTouch(a.Node, a.Sent, r.StartedAt) {
+			j.breach(LeftAlone, r.StartedAt, r.ID, "%s sent it %s after %s said that it leaves", a.Node, a.Sent.Sub(t.Leaving), t.ID)
 		}
 	}
 }
--- a/internal/soak/judge_config.go
+++ b/internal/soak/judge_config.go
@@ -30,7 +30,7 @@
 	for i := range j.Attempts {
 		a := &j.Attempts[i]
 		for _, r := range j.runsOf[a.ID] {
-			add(a, r.Begun, true, handling{service: r.Service, organisation: r.Organisation()})
+			add(a, r.StartedAt, true, handling{service: r.Service, organisation: r.Organisation()})
 		}
 		if a.Seal == "" && !a.Done.IsZero() {
 			switch a.Status {
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -43,13 +43,13 @@
 	service := map[byte]string{'e': engineName, 'p': plainName, 'z': spareName}[target[0]]
 	r.Runs = append(r.Runs, platformtest.Run{
 		ID: a.ID, Replica: target, Service: service, Method: http.MethodPost, URI: a.Path, Host: hostName, Body: a.Body,
-		Header: http.Header{"X-Prefix-Hash": {a.Parts}, "X-Tenant-Id": {handle(configAt(1), "/once/x", a.Key).organisation}}, Weights: 1, Begun: at(second + 0.1),
+		Header: http.Header{"X-Prefix-Hash": {a.Parts}, "X-Tenant-Id": {handle(configAt(1), "/once/x", a.Key).organisation}}, Weights: 1, StartedAt: at(second + 0.1),
 	})
 }
 
 // order is an accepted order.
-func order(target, holder string, fence, weights int64, second float64) platformtest.OrderSeen {
-	return platformtest.OrderSeen{Replica: target, Holder: holder, Fence: fence, Version: weights, Status: http.StatusAccepted, Arrived: at(second), At: at(second)}
+func order(target, holder string, fence, weights int64, second float64) platformtest.ReceivedOrder {
+	return platformtest.ReceivedOrder{Replica: target, Holder: holder, Fence: fence, Version: weights, Status: http.StatusAccepted, Arrived: at(second), At: at(second)}
 }
 
 // trouble is a fault over a span of seconds.
@@ -98,9 +98,9 @@
 			id := fmt.Sprint("w.", n)
 			a := Attempt{ID: id, Call: id, Kind: ResumeCall, Path: "/resume/w", Key: openKey, Parts: "ab:1"}
 			add(r, a, second, "e1")
-			seen := platformtest.Arrival{ID: id, Replica: "e1", At: at(second + 0.1), Said: http.Header{header: {value}}}
+			seen := platformtest.Arrival{ID: id, Replica: "e1", At: at(second + 0.1), Hints: http.Header{header: {value}}}
 			if shed {
-				seen.Shed = seen.At
+				seen.ShedAt = seen.At
 				r.Runs = r.Runs[:len(r.Runs)-1]
 				last := &r.Attempts[len(r.Attempts)-1]
 				last.Status, last.Seal, last.Answer, last.AnswerID = http.StatusServiceUnavailable, "", "", ""
@@ -115,14 +115,14 @@
 		change func(r *Record)
 		breaks Promise
 	}{
-		"a target that says it leaves is used on": {func(r *Record) { says(r, 1, platformtest.SaysLeaving, "1", false) }, ToldLeaving},
-		"it is used by a node that was paused":    {func(r *Record) { says(r, 1, platformtest.SaysLeaving, "1", false); paused(r, 20.5, 30) }, ""},
-		"a limit is gone over":                    {func(r *Record) { says(r, 4, platformtest.SaysLimit, "1", false) }, LimitKept},
-		"a limit is kept":                         {func(r *Record) { says(r, 4, platformtest.SaysLimit, "4", false) }, ""},
-		"a limit is gone over after a pause":      {func(r *Record) { says(r, 4, platformtest.SaysLimit, "1", false); paused(r, 20, 20.6) }, ""},
-		"a target gets no rest":                   {func(r *Record) { says(r, 2, platformtest.SaysRest, "3", true) }, RestKept},
-		"a target gets its rest":                  {func(r *Record) { says(r, 2, platformtest.SaysRest, "1", true) }, ""},
-		"a target gets no rest after a pause":     {func(r *Record) { says(r, 2, platformtest.SaysRest, "3", true); paused(r, 20, 30) }, ""},
+		"a target that says it leaves is used on": {func(r *Record) { says(r, 1, platformtest.HintDraining, "1", false) }, ToldLeaving},
+		"it is used by a node that was paused":    {func(r *Record) { says(r, 1, platformtest.HintDraining, "1", false); paused(r, 20.5, 30) }, ""},
+		"a limit is gone over":                    {func(r *Record) { says(r, 4, platformtest.HintLimit, "1", false) }, LimitKept},
+		"a limit is kept":                         {func(r *Record) { says(r, 4, platformtest.HintLimit, "4", false) }, ""},
+		"a limit is gone over after a pause":      {func(r *Record) { says(r, 4, platformtest.HintLimit, "1", false); paused(r, 20, 20.6) }, ""},
+		"a target gets no rest":                   {func(r *Record) { says(r, 2, platformtest.HintBackoff, "3", true) }, RestKept},
+		"a target gets its rest":                  {func(r *Record) { says(r, 2, platformtest.HintBackoff, "1", true) }, ""},
+		"a target gets no rest after a pause":     {func(r *Record) { says(r, 2, platformtest.HintBackoff, "3", true); paused(r, 20, 30) }, ""},
 		"a request that ends targets goes on":     {func(r *Record) { deadly(r, 4) }, HeldBack},
 		"a request that ends targets is known":    {func(r *Record) { deadly(r, 3) }, ""},
 		"a request that ends targets, by one cut": {func(r *Record) { deadly(r, 4); r.Troubles = []Trouble{trouble(OfNode, Pause, "a", 21, 26)} }, ""},
@@ -141,7 +141,7 @@
 		"a changed body":           {func(r *Record) { r.Runs[2].Body = "x" }, AsSent},
 		"another organisation":     {func(r *Record) { r.Runs[2].Header.Set("X-Tenant-Id", walledOrg) }, AsSent},
 		"another service":          {func(r *Record) { r.Runs[2].Service = strangeName }, AsSent},
-		"parts of other weights":   {func(r *Record) { r.Runs[0].Stale = true }, OwnParts},
+		"parts of other weights":   {func(r *Record) { r.Runs[0].StaleParts = true }, OwnParts},
 		"a second run":             {func(r *Record) { r.Runs = append(r.Runs, r.Runs[1]) }, OnceOnly},
 		"a second run that may be": {func(r *Record) { r.Runs = append(r.Runs, r.Runs[2]) }, ""},
 		"a refusal that ran":       {func(r *Record) { r.Attempts[1].Status, r.Attempts[1].Seal = 503, "" }, TrueRefusal},
@@ -190,19 +190,19 @@
 			}
 		}, FewDenied},
 		"two holders with one fence": {func(r *Record) {
-			r.Orders = []platformtest.OrderSeen{order("e1", "a", 1, 2, 20), order("e2", "b", 1, 2, 30)}
+			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 1, 2, 20), order("e2", "b", 1, 2, 30)}
 		}, OneHolder},
 		"a lower fence": {func(r *Record) {
-			r.Orders = []platformtest.OrderSeen{order("e1", "a", 2, 2, 20), order("e1", "b", 1, 3, 30)}
+			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 2, 2, 20), order("e1", "b", 1, 3, 30)}
 		}, OneHolder},
 		"holders that take turns": {func(r *Record) {
-			r.Orders = []platformtest.OrderSeen{order("e1", "a", 1, 2, 20), order("e1", "b", 2, 3, 22)}
+			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 1, 2, 20), order("e1", "b", 2, 3, 22)}
 		}, OneHolder},
 		"an older order after": {func(r *Record) {
-			r.Orders = []platformtest.OrderSeen{order("e1", "a", 1, 3, 20), order("e1", "a", 1, 2, 22)}
+			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 1, 3, 20), order("e1", "a", 1, 2, 22)}
 		}, OneHolder},
 		"an order right after a pause": {func(r *Record) {
-			r.Orders = []platformtest.OrderSeen{order("e1", "b", 2, 2, 20), order("e1", "a", 1, 3, 22)}
+			r.Orders = []platformtest.ReceivedOrder{order("e1", "b", 2, 2, 20), order("e1", "a", 1, 3, 22)}
 			r.Troubles = []Trouble{trouble(OfNode, Pause, "a", 10, 21.9)}
 		}, ""},
 		"old weights":                 {func(r *Record) { named(r, 19.5) }, WeightsBegin},
--- a/internal/soak/judge_weights.go
+++ b/internal/soak/judge_weights.go
@@ -13,9 +13,9 @@
 // orders checks that orders come from one holder at a time, and that none is undone by an older.
 func (j *judge) orders() {
 	orders := slices.Clone(j.Orders)
-	slices.SortStableFunc(orders, func(a, b platformtest.OrderSeen) int { return a.Arrived.Compare(b.Arrived) })
+	slices.SortStableFunc(orders, func(a, b platformtest.ReceivedOrder) int { return a.Arrived.Compare(b.Arrived) })
 	holders := make(map[int64]string)
-	last := make(map[string]platformtest.OrderSeen)
+	last := make(map[string]platformtest.ReceivedOrder)
 	accepted := make(map[string]int64)
 	for _, o := range j.Orders {
 		if o.Status != http.StatusAccepted {
@@ -84,12 +84,12 @@
 		}
 		acked := from
 		for _, t := range j.Troubles {
-			if until, ok := j.disturbed(t); ok && !t.From.After(r.Begun) && until.After(from) {
+			if until, ok := j.disturbed(t); ok && !t.From.After(r.StartedAt) && until.After(from) {
 				from = until
 			}
 		}
-		if r.Begun.Sub(from) > j.Bounds.Weights && j.inTouch(a.Node, a.Sent, r.Begun) {
-			j.breach(WeightsBegin, r.Begun, r.ID, "%s sent it to %s with weights %d, %s after newer ones", a.Node, r.Replica, r.Weights, r.Begun.Sub(acked))
+		if r.StartedAt.Sub(from) > j.Bounds.Weights && j.inTouch(a.Node, a.Sent, r.StartedAt) {
+			j.breach(WeightsBegin, r.StartedAt, r.ID, "%s sent it to %s with weights %d, %s after newer ones", a.Node, r.Replica, r.Weights, r.StartedAt.Sub(acked))
 		}
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -149,8 +149,8 @@
 var (
 	links   = []Link{Delayed, CutUp, CutDown, Silence, Reset}
 	outages = []platformtest.Outage{
-		platformtest.Busy, platformtest.Busy, platformtest.Resetting, platformtest.Resetting, platformtest.Losing, platformtest.Late,
-		platformtest.Slow, platformtest.Limited, platformtest.Garbling,
+		platformtest.Unavailable, platformtest.Unavailable, platformtest.Resetting, platformtest.Resetting, platformtest.LosingAnswers, platformtest.LateWrites,
+		platformtest.Slow, platformtest.RateLimited, platformtest.Garbling,
 	}
 )
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -25,7 +25,7 @@
 	dir     string
 	set     platformtest.Settings
 	// door is the node's own at the store, link the proxy before it.
-	door *platformtest.Door
+	door *platformtest.Endpoint
 	link *Proxy
 
 	mu   sync.Mutex
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -120,7 +120,7 @@
 	Begun    time.Time
 	Attempts []Attempt
 	Runs     []platformtest.Run
-	Orders   []platformtest.OrderSeen
+	Orders   []platformtest.ReceivedOrder
 	// Arrivals are the requests that came to targets, in their order.
 	Arrivals []platformtest.Arrival
 	Configs  []Declared
--- a/internal/soak/said.go
+++ b/internal/soak/said.go
@@ -32,32 +32,32 @@
 	defer s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
 	switch step.Kind {
 	case TargetNamesLimit:
-		r.Say(platformtest.SaysLimit, strconv.FormatFloat(namedLimit, 'f', -1, 64))
+		r.SetHint(platformtest.HintLimit, strconv.FormatFloat(namedLimit, 'f', -1, 64))
 		wait(ctx, step.Length)
-		r.Say(platformtest.SaysLimit, "")
+		r.SetHint(platformtest.HintLimit, "")
 	case TargetRests:
-		r.Say(platformtest.SaysRest, strconv.FormatFloat(restTime.Seconds(), 'f', -1, 64))
-		r.Play(func(*http.Request) platformtest.Fault {
+		r.SetHint(platformtest.HintBackoff, strconv.FormatFloat(restTime.Seconds(), 'f', -1, 64))
+		r.SetScript(func(*http.Request) platformtest.Fault {
 			if rand.Float64() < restPart {
 				return platformtest.Shed
 			}
-			return platformtest.Sound
+			return platformtest.NoFault
 		})
 		wait(ctx, step.Length)
-		r.Play(nil)
-		r.Say(platformtest.SaysRest, "")
+		r.SetScript(nil)
+		r.SetHint(platformtest.HintBackoff, "")
 	case TargetSaysLeaving:
-		r.Say(platformtest.SaysLeaving, "1")
+		r.SetHint(platformtest.HintDraining, "1")
 		wait(ctx, s.bounds.Drain+step.Length)
 		s.end(sl, r)
-		r.Hide()
+		r.Unlist()
 		s.must(s.startTarget(sl, s.newID(r.Service), r.Service, r.Weights(), time.Now()))
 	}
 }
 
 // The bounds on what targets get that say what they need.
 const (
-	// limitWindow, limitTimes and limitMore bound what one that names a limit gets in any such window, from
+	// limitWindow, limitFactor and limitAllowance bound what one that names a limit gets in any such window, from
 	// nodes that passed on an answer which named it as long as toldTime before.
 	limitWindow = 4 * time.Second
 	limitTimes  = 1.5
@@ -87,7 +87,7 @@
 	out := make(map[string][]arrival)
 	for _, a := range j.Arrivals {
 		if at := j.byID[a.ID]; at != nil && at.Node != "" {
-			start := a.Replica + "@" + strconv.FormatInt(a.Born, 10)
+			start := a.Replica + "@" + strconv.FormatInt(a.StartMS, 10)
 			out[start] = append(out[start], arrival{a, at})
 		}
 	}
@@ -112,7 +112,7 @@
 // leavingTold checks that a target which says in its answers that it leaves gets no work of nodes that
 // passed such answers on, whatever the list and the store have of it.
 func (j *judge) leavingTold() {
-	leaves := func(a platformtest.Arrival) bool { return a.Said.Get(platformtest.SaysLeaving) != "" }
+	leaves := func(a platformtest.Arrival) bool { return a.Hints.Get(platformtest.HintDraining) != "" }
 	for _, all := range j.arrivals() {
 		told := j.told(all, leaves)
 		for _, a := range all {
@@ -131,7 +131,7 @@
 
 // limits checks that a target which names a limit gets no more than it allows of the nodes that it told.
 func (j *judge) limits() {
-	names := func(a platformtest.Arrival) bool { return a.Said.Get(platformtest.SaysLimit) != "" }
+	names := func(a platformtest.Arrival) bool { return a.Hints.Get(platformtest.HintLimit) != "" }
 	for _, all := range j.arrivals() {
 		told := j.told(all, names)
 		var counted []arrival
@@ -151,7 +151,7 @@
 			for len(counted) > 0 && a.At.Sub(counted[0].At) > limitWindow {
 				counted = counted[1:]
 			}
-			limit, err := strconv.ParseFloat(a.Said.Get(platformtest.SaysLimit), 64)
+			limit, err := strconv.ParseFloat(a.Hints.Get(platformtest.HintLimit), 64)
 			if most := limitTimes*limit*limitWindow.Seconds() + limitMore; err == nil && a.At.After(first.Add(j.Bounds.Contact)) && float64(len(counted)) > most {
 				j.breach(LimitKept, a.At, a.ID, "%d in %s at %s, which takes %g a second", len(counted), limitWindow, a.Replica, limit)
 				counted = nil
@@ -164,11 +164,11 @@
 func (j *judge) rests() {
 	for _, all := range j.arrivals() {
 		for k, asked := range all {
-			rest, err := strconv.ParseFloat(asked.Said.Get(platformtest.SaysRest), 64)
-			if asked.Shed.IsZero() || err != nil {
+			rest, err := strconv.ParseFloat(asked.Hints.Get(platformtest.HintBackoff), 64)
+			if asked.ShedAt.IsZero() || err != nil {
 				continue
 			}
-			from, until := asked.Shed.Add(toldTime), asked.Shed.Add(time.Duration(rest*float64(time.Second)))
+			from, until := asked.ShedAt.Add(toldTime), asked.ShedAt.Add(time.Duration(rest*float64(time.Second)))
 			n := 0
 			for _, a := range all[k+1:] {
 				if a.At.After(until) {
@@ -178,7 +178,7 @@
 					n++
 				}
 				if n > restMost {
-					j.breach(RestKept, a.At, a.ID, "%s sent %d to %s, which had asked it for rest %s before", a.attempt.Node, n, a.Replica, a.At.Sub(asked.Shed))
+					j.breach(RestKept, a.At, a.ID, "%s sent %d to %s, which had asked it for rest %s before", a.attempt.Node, n, a.Replica, a.At.Sub(asked.ShedAt))
 					break
 				}
 			}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -29,7 +29,7 @@
 
 // The times of the stand-ins.
 const (
-	// routeTime is what routes give a request, callTime what its caller waits.
+	// routeTime is what routes give a request, callTimeout what its caller waits.
 	routeTime = 3 * time.Second
 	callTime  = 4 * time.Second
 	// streamEvents and eventGap make a stream last some 0.3 s.
@@ -180,7 +180,7 @@
 
 // prepareNode adds a node whose process does not run yet.
 func (s *site) prepareNode() (*node, error) {
-	door, err := s.store.Open()
+	door, err := s.store.OpenEndpoint()
 	if err != nil {
 		return nil, err
 	}
@@ -270,10 +270,10 @@
 
 // startTarget starts a target at a place, by its own clock at a time.
 func (s *site) startTarget(sl *slot, id, service string, weights int64, at time.Time) error {
-	opts := []platformtest.Option{platformtest.WithFront(sl.proxy.Addr), platformtest.WithBorn(at.UnixMilli())}
+	opts := []platformtest.Option{platformtest.WithAdvertisedAddr(sl.proxy.Addr), platformtest.WithStart(at.UnixMilli())}
 	if service == engineName {
 		opts = append(opts, platformtest.WithModel(modelName, weights), platformtest.WithEvents(streamEvents, eventGap),
-			platformtest.WithDeadly(deadlyParts, func(r *platformtest.Replica) { s.steps.Go(func() { s.endUnder(sl, r) }) }))
+			platformtest.WithCrashPrompt(deadlyParts, func(r *platformtest.Replica) { s.steps.Go(func() { s.endUnder(sl, r) }) }))
 	}
 	r, err := platformtest.Start(s.store, s.runs, id, service, netip.AddrPort{}, opts...)
 	if err != nil {
@@ -325,7 +325,7 @@
 	s.weights++
 	weights := s.weights
 	s.mu.Unlock()
-	if err := s.store.Name(modelName, weights); err != nil {
+	if err := s.store.NameWeights(modelName, weights); err != nil {
 		return err
 	}
 	s.write(func(r *Record) { r.Named = append(r.Named, Named{Weights: weights, Acked: time.Now()}) })
@@ -342,7 +342,7 @@
 // snapshot returns the record as it is now.
 func (s *site) snapshot() Record {
 	// Runs come first: an attempt is noted before any run of it can be.
-	runs, orders, arrivals := s.runs.All(), s.runs.Orders(), s.runs.AllArrivals()
+	runs, orders, arrivals := s.runs.AllRuns(), s.runs.Orders(), s.runs.AllArrivals()
 	s.mu.Lock()
 	weights := make(map[string]int64)
 	for _, sl := range s.slots {
