--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -75,7 +75,7 @@
 	return t
 }
 
-// maxAnswerBytes bounds a door's answer in bytes.
+// maxAnswer bounds a door's answer in bytes.
 const maxAnswer = 64 << 20
 
 func (t *Tool) ask(ctx context.Context, door netip.AddrPort, path string, into any) error {
--- a/fleet/roll_fuzz_test.go
+++ b/fleet/roll_fuzz_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// execute carries out an order if its conditions on the engine hold.
+// carryOut carries out an order if its conditions on the engine hold.
 func (w *updateSim) carryOut(o sentOrder) bool {
 	e := o.to
 	if e.incarnation != o.incarnation || e.orders != o.orders || e.loading > 0 || e.weights == o.weights {
--- a/internal/soak/said.go
+++ b/internal/soak/said.go
@@ -57,7 +57,7 @@
 
 // The bounds on what targets get that say what they need.
 const (
-	// limitWindow, limitFactor and limitAllowance bound what one that names a limit gets in any such window, from
+	// limitWindow, limitTimes and limitMore bound what one that names a limit gets in any such window, from
 	// nodes that passed on an answer which named it as long as toldTime before.
 	limitWindow = 4 * time.Second
 	limitTimes  = 1.5
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -29,7 +29,7 @@
 
 // The times of the stand-ins.
 const (
-	// routeTime is what routes give a request, callTimeout what its caller waits.
+	// routeTime is what routes give a request, callTime what its caller waits.
 	routeTime = 3 * time.Second
 	callTime  = 4 * time.Second
 	// streamEvents and eventGap make a stream last some 0.3 s.
--- a/node/fleet_store_test.go
+++ b/node/fleet_store_test.go
@@ -190,7 +190,7 @@
 	return out, err
 }
 
-// rolloutTest orders a roll-out.
+// rollOut orders a roll-out.
 func (s *simStore) rollOut(release string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/list.go
+++ b/node/list.go
@@ -22,7 +22,7 @@
 	// partial is set if the list has more targets than the store returns in one page.
 	partial bool
 	failing bool
-	// returnPoint is when the store became available again after a failure.
+	// backAt is when the store became available again after a failure.
 	backAt time.Time
 	// refreshedAt is when the newest reading began.
 	readAt time.Time
--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 	weights        *weightsUpdater
 	relays         *relays
 	rollouts       *rollouts
-	// largeFleetSize is the maximum number of nodes that all talk to each other.
+	// smallFleet is the maximum number of nodes that all talk to each other.
 	smallFleet int
 	// metricsAddr is the address of the metrics server; it is invalid if there is none.
 	metricsAddr netip.AddrPort
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -63,7 +63,7 @@
 	Seeds   []netip.AddrPort
 	Timeout time.Duration
 	Seed    uint64
-	// Clock is the clock by which peers expire; nil means [clock.Steady].
+	// Clock is the clock by which peers expire; nil means [clock.Monotonic].
 	Clock clock.Clock
 	// Payload returns the state that the process publishes about itself.
 	Payload func(now time.Time) Payload
--- a/route/stream_test.go
+++ b/route/stream_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// completeStream returns the chunks of a complete answer: texts, the finish chunk, the usage and
+// wholeStream returns the chunks of a complete answer: texts, the finish chunk, the usage and
 // the end of the stream.
 func wholeStream(attempt string, texts int) []Chunk {
 	var out []Chunk
--- a/route/target_limit_fleet_test.go
+++ b/route/target_limit_fleet_test.go
@@ -59,7 +59,7 @@
 	said     TargetHints
 }
 
-// answerTimeout is the time that a target takes for a request.
+// answerTime is the time that a target takes for a request.
 const answerTime = 50 * time.Millisecond
 
 func newTargetLimitFleet(t *testing.T, n, targets int, seed uint64, changes ...func(f *targetLimitFleet)) *targetLimitFleet {
--- a/router/engine.go
+++ b/router/engine.go
@@ -204,7 +204,7 @@
 	})
 }
 
-// maxAnswerBytes bounds an answer that is read whole, in bytes.
+// maxAnswer bounds an answer that is read whole, in bytes.
 const maxAnswer = 16 << 20
 
 // whole sends an attempt whose answer is passed on as one body.
