--- a/cmd/pathhead-fleet/main.go
+++ b/cmd/pathhead-fleet/main.go
@@ -38,7 +38,7 @@
 	}
 	c, err := controller.New(controller.Settings{
 		Name: f.Name, Operators: f.Operators, Peers: f.Peers, Seeds: f.Seeds,
-		Lease: f.Lease, Every: f.Every, GossipEvery: f.GossipEvery, PeerTimeout: f.PeerTimeout,
+		Lease: f.Lease, PlanEvery: f.Every, GossipEvery: f.GossipEvery, PeerTimeout: f.PeerTimeout,
 		PeerServer: server, PeerClient: client,
 	}, f.ports(), controller.WithLogger(f.Logger(f.Name)))
 	if err != nil {
--- a/cmd/pathhead-node/main.go
+++ b/cmd/pathhead-node/main.go
@@ -52,7 +52,7 @@
 		cli.Exit(cli.ExitUsage, err)
 	}
 	counters := metrics.NewSet()
-	called := func(name string) {
+	countCall := func(name string) {
 		counters.GetOrCreateCounter(fmt.Sprintf("pathhead_platform_calls_total{call=%q}", name)).Inc()
 	}
 	dropped := counters.NewCounter("pathhead_log_lines_dropped_total")
@@ -66,7 +66,7 @@
 	if f.MetricsPort > 0 {
 		opts = append(opts, node.WithMetrics(netip.AddrPortFrom(set.Callers.Addr(), f.MetricsPort), f.MetricsPath))
 	}
-	n, err := node.New(set, platform.NewStore(set.Store, called, platform.WithClock(now)), platform.Protocol{}, platform.NewEngines(called, platform.WithClock(now)), opts...)
+	n, err := node.New(set, platform.NewStore(set.Store, countCall, platform.WithClock(now)), platform.Protocol{}, platform.NewEngines(countCall, platform.WithClock(now)), opts...)
 	if err != nil {
 		cli.Exit(cli.ExitUsage, err)
 	}
--- a/cmd/pathhead-soak/main.go
+++ b/cmd/pathhead-soak/main.go
@@ -77,19 +77,19 @@
 		report = io.MultiWriter(os.Stdout, file)
 	}
 	s := soak.New(f.Programs, soak.WithOutput(f.Out), soak.WithLogger(slog.New(slog.NewTextHandler(os.Stderr, nil))))
-	return play(ctx, s, plans, f.Parallel, report)
+	return runPlans(ctx, s, plans, f.Parallel, report)
 }
 
-// play plays plans, some at the same time.
-func play(ctx context.Context, s *soak.Soak, plans []soak.Plan, parallel int, report io.Writer) error {
+// runPlans plays plans, some at the same time.
+func runPlans(ctx context.Context, s *soak.Soak, plans []soak.Plan, parallel int, report io.Writer) error {
 	var (
-		mu     sync.Mutex
-		all    sync.WaitGroup
-		faults errs.Group
-		next   = make(chan soak.Plan)
+		mu      sync.Mutex
+		workers sync.WaitGroup
+		faults  errs.Group
+		next    = make(chan soak.Plan)
 	)
 	for range max(1, parallel) {
-		all.Go(func() {
+		workers.Go(func() {
 			for plan := range next {
 				res, err := s.Play(ctx, plan)
 				mu.Lock()
@@ -110,7 +110,7 @@
 		}
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
 	return faults.Err()
 }
 
--- a/cmd/pathhead-standin/main.go
+++ b/cmd/pathhead-standin/main.go
@@ -131,8 +131,8 @@
 	return json.Marshal(groups)
 }
 
-// stopTime bounds a planned stop.
-const stopTime = 10 * time.Second
+// shutdownTimeout bounds a planned stop.
+const shutdownTimeout = 10 * time.Second
 
 // serve serves until a signal and then stops; leave is called first where it is given.
 func serve(f *flags, h http.Handler, leave func(context.Context)) error {
@@ -146,12 +146,12 @@
 	}
 	ctx, stop := cli.SignalContext()
 	defer stop()
-	s := &http.Server{Handler: h, ReadHeaderTimeout: stopTime}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: shutdownTimeout}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		<-ctx.Done()
-		end, cancel := context.WithTimeout(context.Background(), stopTime)
+		end, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if leave != nil {
 			leave(end)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -31,7 +31,7 @@
 	// Lease is the length of a pool's lease; it is renewed at a third of it.
 	Lease time.Duration
 	// Every is the time between rounds of planning.
-	Every       time.Duration
+	PlanEvery   time.Duration
 	GossipEvery time.Duration
 	PeerTimeout time.Duration
 	PeerServer  *tls.Config
@@ -41,27 +41,27 @@
 // orderTimeout bounds the sending of an order; a new holder waits for longer.
 const orderTimeout = time.Second
 
-// guard is how much longer than a lease its next holder waits: an order that
+// takeoverMargin is how much longer than a lease its next holder waits: an order that
 // the last one sent at its very end is over by then.
-const guard = 2 * orderTimeout
+const takeoverMargin = 2 * orderTimeout
 
 // Check returns every fault of the settings in one error.
 func (s Settings) Check() error {
-	var faults []error
-	bad := func(format string, args ...any) { faults = append(faults, errs.Errorf(format, args...)) }
+	var problems []error
+	addf := func(format string, args ...any) { problems = append(problems, errs.Errorf(format, args...)) }
 	if s.Name == "" {
-		bad("name is missing")
+		addf("name is missing")
 	}
 	if !s.Operators.IsValid() || !s.Peers.IsValid() {
-		bad("the doors have no address")
+		addf("the doors have no address")
 	}
 	if s.Lease < 3*orderTimeout {
-		bad("lease must be at least %s, since an order may take %s", 3*orderTimeout, orderTimeout)
+		addf("lease must be at least %s, since an order may take %s", 3*orderTimeout, orderTimeout)
 	}
-	if s.Every <= 0 || s.GossipEvery <= 0 || s.PeerTimeout <= s.GossipEvery {
-		bad("every and gossip-every must be more than 0 and peer-timeout longer than gossip-every")
+	if s.PlanEvery <= 0 || s.GossipEvery <= 0 || s.PeerTimeout <= s.GossipEvery {
+		addf("every and gossip-every must be more than 0 and peer-timeout longer than gossip-every")
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
 // Controller is a fleet process.
@@ -83,18 +83,18 @@
 	mu       sync.Mutex
 	snap     *policy.Snapshot
 	document fleet.Document
-	pools    map[string]*poolWork
+	pools    map[string]*poolState
 }
 
-// poolWork is one pool's lease and planner.
-type poolWork struct {
-	lease    *fleet.Lease
-	planner  *fleet.Planner
-	held     bool
-	readNext time.Time
-	engines  []fleet.Engine
-	steps    fleet.Steps
-	told     map[fleet.Rollout]bool
+// poolState is one pool's lease and planner.
+type poolState struct {
+	lease         *fleet.Lease
+	planner       *fleet.Planner
+	wasHeld       bool
+	nextRead      time.Time
+	engines       []fleet.Engine
+	steps         fleet.Steps
+	reportedStops map[fleet.Rollout]bool
 }
 
 // Option changes a [Controller] at its construction.
@@ -123,7 +123,7 @@
 		list:    p.List,
 		engines: p.Engines,
 		peers:   peer.NewClient(time.Second, s.PeerClient),
-		pools:   make(map[string]*poolWork),
+		pools:   make(map[string]*poolState),
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -157,8 +157,8 @@
 		})
 	}
 	wg.Go(func() { c.gossipLoop(ctx) })
-	c.workLoop(ctx)
-	c.freeAll()
+	c.planLoop(ctx)
+	c.releaseLeases()
 	door.CloseAll(doors)
 	wg.Wait()
 	c.peers.Close()
@@ -179,8 +179,8 @@
 	}
 }
 
-func (c *Controller) workLoop(ctx context.Context) {
-	t := time.NewTicker(c.set.Every)
+func (c *Controller) planLoop(ctx context.Context) {
+	t := time.NewTicker(c.set.PlanEvery)
 	defer t.Stop()
 	for {
 		c.round(ctx)
@@ -208,7 +208,7 @@
 	}
 	for _, p := range snap.Pools() {
 		if p.Kind == policy.KindEngine {
-			c.poolRound(ctx, snap, p, list)
+			c.planPool(ctx, snap, p, list)
 		}
 	}
 }
@@ -247,49 +247,49 @@
 	return c.document.Revision
 }
 
-func (c *Controller) work(pool string) *poolWork {
+func (c *Controller) poolState(pool string) *poolState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w, ok := c.pools[pool]
 	if !ok {
-		w = &poolWork{
-			lease:   fleet.NewLease("pool/"+pool, c.id, c.set.Lease, guard),
-			planner: fleet.NewPlanner(pool, fleet.DefaultPlannerSettings()),
-			told:    make(map[fleet.Rollout]bool),
+		w = &poolState{
+			lease:         fleet.NewLease("pool/"+pool, c.id, c.set.Lease, takeoverMargin),
+			planner:       fleet.NewPlanner(pool, fleet.DefaultPlannerSettings()),
+			reportedStops: make(map[fleet.Rollout]bool),
 		}
 		c.pools[pool] = w
 	}
 	return w
 }
 
-// poolRound keeps the lease and, while it is held, the pool.
-func (c *Controller) poolRound(ctx context.Context, snap *policy.Snapshot, p *policy.CompiledPool, list []route.ListedTarget) {
-	w := c.work(p.Name)
-	c.keepLease(ctx, p.Name, w)
+// planPool keeps the lease and, while it is held, the pool.
+func (c *Controller) planPool(ctx context.Context, snap *policy.Snapshot, p *policy.CompiledPool, list []route.ListedTarget) {
+	w := c.poolState(p.Name)
+	c.maintainLease(ctx, p.Name, w)
 	if !w.lease.Holds(time.Now()) {
 		return
 	}
-	engines := c.see(ctx, p, list)
+	engines := c.pollEngines(ctx, p, list)
 	c.mu.Lock()
 	w.engines = engines
 	w.steps = w.planner.Plan(time.Now(), snap, engines)
 	steps := w.steps
 	c.mu.Unlock()
 	for _, s := range steps.Orders {
-		c.order(ctx, w, s)
+		c.sendOrder(ctx, w, s)
 	}
 	for _, s := range steps.Probes {
-		c.probe(ctx, w, s)
+		c.probeEngine(ctx, w, s)
 	}
-	c.tellStops(p.Name, w)
+	c.reportStops(p.Name, w)
 }
 
-func (c *Controller) tellStops(pool string, w *poolWork) {
+func (c *Controller) reportStops(pool string, w *poolState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for r, why := range w.planner.StoppedRollouts() {
-		if !w.told[r] {
-			w.told[r] = true
+		if !w.reportedStops[r] {
+			w.reportedStops[r] = true
 			c.events.Record(event.Event{Code: event.RolloutStopped, Revision: c.document.Revision, Detail: pool + " to " + r.Model + " " + r.Weights + ": " + why})
 		}
 	}
@@ -302,7 +302,7 @@
 	p := peer.Payload{Kind: peer.KindFleet, Door: c.set.Operators, Word: fleet.ConfigStatus{Revision: c.document.Revision, ConfirmedAge: -1}}
 	for _, w := range c.pools {
 		if w.lease.Holds(now) {
-			p.State.Holds = append(p.State.Holds, marksOf(w.steps.Holds)...)
+			p.State.Holds = append(p.State.Holds, targetKeys(w.steps.Holds)...)
 		}
 	}
 	return p
--- a/controller/pool.go
+++ b/controller/pool.go
@@ -17,23 +17,23 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// leaseParts is how many times a lease is renewed, and read by others, in its length.
-const leaseParts = 3
+// readsPerLease is how many times a lease is renewed, and read by others, in its length.
+const readsPerLease = 3
 
-// keepLease takes or renews a pool's lease when it is time to.
-func (c *Controller) keepLease(ctx context.Context, pool string, w *poolWork) {
+// maintainLease takes or renews a pool's lease when it is time to.
+func (c *Controller) maintainLease(ctx context.Context, pool string, w *poolState) {
 	now := time.Now()
-	if now.Before(w.readNext) && w.lease.Holds(now) == w.held {
+	if now.Before(w.nextRead) && w.lease.Holds(now) == w.wasHeld {
 		return
 	}
-	w.readNext = now.Add(c.set.Lease / leaseParts)
-	c.tryLease(ctx, w)
-	c.noteLease(pool, w)
+	w.nextRead = now.Add(c.set.Lease / readsPerLease)
+	c.readAndWriteLease(ctx, w)
+	c.recordLeaseChange(pool, w)
 }
 
-// tryLease reads the lease's row and writes it where it may; the time of a
+// readAndWriteLease reads the lease's row and writes it where it may; the time of a
 // renewal counts from before the write is sent.
-func (c *Controller) tryLease(ctx context.Context, w *poolWork) {
+func (c *Controller) readAndWriteLease(ctx context.Context, w *poolState) {
 	part, sort := w.lease.Key()
 	row, ok, err := c.table.Get(ctx, part, sort)
 	if err != nil {
@@ -56,15 +56,15 @@
 	w.lease.HandleWrite(time.Now(), rev, err)
 }
 
-// noteLease records a change of holding; a lost lease ends all changes under way.
-func (c *Controller) noteLease(pool string, w *poolWork) {
+// recordLeaseChange records a change of holding; a lost lease ends all changes under way.
+func (c *Controller) recordLeaseChange(pool string, w *poolState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	holds := w.lease.Holds(time.Now())
-	if holds == w.held {
+	if holds == w.wasHeld {
 		return
 	}
-	w.held = holds
+	w.wasHeld = holds
 	detail := pool + " with fencing number " + strconv.FormatInt(w.lease.Fence(), 10)
 	if holds {
 		c.events.Record(event.Event{Code: event.LeaseTaken, Detail: detail})
@@ -87,8 +87,8 @@
 	return n
 }
 
-// freeAll gives the held leases up, so that others need not wait them out.
-func (c *Controller) freeAll() {
+// releaseLeases gives the held leases up, so that others need not wait them out.
+func (c *Controller) releaseLeases() {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	c.mu.Lock()
@@ -102,33 +102,33 @@
 	}
 }
 
-// pollWidth bounds the engines polled at once.
-const pollWidth = 16
+// maxConcurrentPolls bounds the engines polled at once.
+const maxConcurrentPolls = 16
 
-// see polls the pool's engines.
-func (c *Controller) see(ctx context.Context, p *policy.CompiledPool, list []route.ListedTarget) []fleet.Engine {
+// pollEngines polls the pool's engines.
+func (c *Controller) pollEngines(ctx context.Context, p *policy.CompiledPool, list []route.ListedTarget) []fleet.Engine {
 	var (
 		mu  sync.Mutex
 		wg  sync.WaitGroup
 		out []fleet.Engine
-		sem = make(chan struct{}, pollWidth)
+		sem = make(chan struct{}, maxConcurrentPolls)
 	)
-	busy := c.routersWord()
-	for _, seen := range list {
-		if !p.Matches(seen.Labels) {
+	inFlight := c.inFlightAtRouters()
+	for _, listed := range list {
+		if !p.Matches(listed.Labels) {
 			continue
 		}
 		sem <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-sem }()
-			e, err := c.engines.State(ctx, seen.Addr)
+			e, err := c.engines.State(ctx, listed.Addr)
 			if err != nil {
 				// The planner leaves an engine alone that can't be reached.
-				c.log.Debug("an engine was not polled", "engine", seen.Addr, "error", err)
+				c.log.Debug("an engine was not polled", "engine", listed.Addr, "error", err)
 			}
-			e.Name = seen.Labels["name"]
-			e.Leaving = e.Leaving || seen.Leaving
-			e.Busy = max(e.Busy, busy[route.TargetKey{Target: seen.Addr, Incarnation: e.Incarnation}])
+			e.Name = listed.Labels["name"]
+			e.Leaving = e.Leaving || listed.Leaving
+			e.Busy = max(e.Busy, inFlight[route.TargetKey{Target: listed.Addr, Incarnation: e.Incarnation}])
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, e)
@@ -138,8 +138,8 @@
 	return out
 }
 
-// routersWord sums what the routers say they have in flight at each engine.
-func (c *Controller) routersWord() map[route.TargetKey]int {
+// inFlightAtRouters sums what the routers say they have in flight at each engine.
+func (c *Controller) inFlightAtRouters() map[route.TargetKey]int {
 	out := make(map[route.TargetKey]int)
 	for _, e := range c.gossip.Live() {
 		for _, l := range e.Payload.State.Loads {
@@ -149,7 +149,7 @@
 	return out
 }
 
-func marksOf(changes []fleet.Change) []route.TargetKey {
+func targetKeys(changes []fleet.Change) []route.TargetKey {
 	out := make([]route.TargetKey, 0, len(changes))
 	for _, ch := range changes {
 		out = append(out, route.TargetKey{Target: ch.Engine, Incarnation: ch.Incarnation})
@@ -157,8 +157,8 @@
 	return out
 }
 
-// order sends one order if the lease lasts for as long as the order may take.
-func (c *Controller) order(ctx context.Context, w *poolWork, s fleet.Step) {
+// sendOrder sends one order if the lease lasts for as long as the order may take.
+func (c *Controller) sendOrder(ctx context.Context, w *poolState, s fleet.Step) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	ch := s.Change
@@ -190,11 +190,11 @@
 	slowFloor  = 250 * time.Millisecond
 )
 
-// probe tries a changed engine, and one that was not changed for comparison.
-func (c *Controller) probe(ctx context.Context, w *poolWork, s fleet.Step) {
-	took, err := c.try(ctx, s.Change.Engine, s.Change.Want)
+// probeEngine tries a changed engine, and one that was not changed for comparison.
+func (c *Controller) probeEngine(ctx context.Context, w *poolState, s fleet.Step) {
+	took, err := c.timeProbe(ctx, s.Change.Engine, s.Change.Want)
 	if err == nil {
-		err = c.compare(ctx, w, s, took)
+		err = c.checkProbeTime(ctx, w, s, took)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,14 +206,14 @@
 	c.events.Record(event.Event{Code: event.OrderDone, Target: s.Engine.Name, Detail: s.Change.Want.Model + " " + s.Change.Want.Weights})
 }
 
-// compare fails if an engine took much longer than another that serves the model.
-func (c *Controller) compare(ctx context.Context, w *poolWork, s fleet.Step, took time.Duration) error {
+// checkProbeTime fails if an engine took much longer than another that serves the model.
+func (c *Controller) checkProbeTime(ctx context.Context, w *poolState, s fleet.Step, took time.Duration) error {
 	for _, e := range w.engines {
 		weights, ok := e.Weights[s.Change.Want.Model]
 		if !ok || !e.Reachable || e.Addr == s.Change.Engine || e.Busy > 0 {
 			continue
 		}
-		other, err := c.try(ctx, e.Addr, fleet.Want{Model: s.Change.Want.Model, Weights: weights})
+		other, err := c.timeProbe(ctx, e.Addr, fleet.Want{Model: s.Change.Want.Model, Weights: weights})
 		if err != nil {
 			continue
 		}
@@ -225,11 +225,11 @@
 	return nil
 }
 
-// try asks an engine for a few tokens and returns how long they took.
-func (c *Controller) try(ctx context.Context, addr netip.AddrPort, w fleet.Want) (time.Duration, error) {
+// timeProbe asks an engine for a few tokens and returns how long they took.
+func (c *Controller) timeProbe(ctx context.Context, addr netip.AddrPort, w fleet.Want) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	err := c.engines.Probe(ctx, addr, w)
-	return time.Since(begun), err
+	return time.Since(startedAt), err
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (c *Controller) poolStatus(pool string, w *poolWork) PoolStatus {
+func (c *Controller) poolStatus(pool string, w *poolState) PoolStatus {
 	holder, fence := w.lease.Holder()
 	out := PoolStatus{Pool: pool, Holder: holder, Fence: fence, Held: w.lease.Holds(time.Now())}
 	if !out.Held {
--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		return err
 	}
-	t.warn(ctx, o.File, cfg)
-	base, old, err := t.base(ctx, o.Base)
+	t.warnUnmatched(ctx, o.File, cfg)
+	base, old, err := t.baseRevision(ctx, o.Base)
 	if err != nil {
 		return err
 	}
@@ -48,11 +48,11 @@
 	if o.DryRun {
 		return nil
 	}
-	return t.offer(ctx, o, base, string(text))
+	return t.submit(ctx, o, base, string(text))
 }
 
-// warn prints the selectors that match no VM now.
-func (t *Tool) warn(ctx context.Context, file string, cfg *policy.Config) {
+// warnUnmatched prints the selectors that match no VM now.
+func (t *Tool) warnUnmatched(ctx context.Context, file string, cfg *policy.Config) {
 	if t.vms == nil {
 		return
 	}
@@ -77,22 +77,22 @@
 
 // A read that the platform fails is tried again: it changes nothing.
 const (
-	readTries = 4
-	readPause = 100 * time.Millisecond
+	readTries      = 4
+	readRetryDelay = 100 * time.Millisecond
 )
 
-// base returns the revision that a new one follows and its text.
-func (t *Tool) base(ctx context.Context, want int64) (revision int64, text string, err error) {
+// baseRevision returns the revision that a new one follows and its text.
+func (t *Tool) baseRevision(ctx context.Context, want int64) (revision int64, text string, err error) {
 	for try := 1; ; try++ {
-		revision, text, err = t.readBase(ctx, want)
+		revision, text, err = t.readBaseRevision(ctx, want)
 		if err == nil || try == readTries || ctx.Err() != nil {
 			return revision, text, err
 		}
-		time.Sleep(readPause)
+		time.Sleep(readRetryDelay)
 	}
 }
 
-func (t *Tool) readBase(ctx context.Context, want int64) (int64, string, error) {
+func (t *Tool) readBaseRevision(ctx context.Context, want int64) (int64, string, error) {
 	if want < 0 {
 		head, err := t.configs.Head(ctx)
 		if err != nil {
@@ -108,7 +108,7 @@
 }
 
 func (t *Tool) printDiff(base int64, old, file, text string) {
-	if t.form == OutputJSON {
+	if t.output == OutputJSON {
 		return
 	}
 	d := diff.Diff(fmt.Sprintf("revision %d", base), []byte(old), file, []byte(text))
@@ -119,7 +119,7 @@
 	_, _ = t.out.Write(d)
 }
 
-func (t *Tool) offer(ctx context.Context, o ApplyOptions, base int64, text string) error {
+func (t *Tool) submit(ctx context.Context, o ApplyOptions, base int64, text string) error {
 	ctx, cancel := context.WithTimeout(ctx, o.Wait)
 	defer cancel()
 	stored, err := t.configs.Apply(ctx, base, fleet.Document{
@@ -136,21 +136,21 @@
 	return t.awaitRouters(ctx, stored.Revision)
 }
 
-// applied is what apply prints for scripts.
-type applied struct {
+// applyResult is what apply prints for scripts.
+type applyResult struct {
 	Revision int64    `json:"revision"`
 	Routers  int      `json:"routers"`
 	Missing  []string `json:"missing"`
 }
 
-// awaitPause is the time between questions whether a revision is in force.
-const awaitPause = 100 * time.Millisecond
+// awaitInterval is the time between questions whether a revision is in force.
+const awaitInterval = 100 * time.Millisecond
 
 // awaitRouters waits until every router that can be reached serves under the revision.
 func (t *Tool) awaitRouters(ctx context.Context, revision int64) error {
-	result := applied{Revision: revision}
+	result := applyResult{Revision: revision}
 	for len(t.doors) > 0 {
-		result.Routers, result.Missing = t.serving(ctx, revision)
+		result.Routers, result.Missing = t.countRouters(ctx, revision)
 		if len(result.Missing) == 0 && result.Routers > 0 {
 			break
 		}
@@ -158,24 +158,24 @@
 		case <-ctx.Done():
 			t.printApplied(result)
 			return errs.Errorf("revision %d is accepted but was not seen in force at: %v", revision, result.Missing)
-		case <-time.After(awaitPause):
+		case <-time.After(awaitInterval):
 		}
 	}
 	t.printApplied(result)
 	return nil
 }
 
-func (t *Tool) printApplied(a applied) {
-	if t.form == OutputJSON {
-		t.json(a)
+func (t *Tool) printApplied(a applyResult) {
+	if t.output == OutputJSON {
+		t.printJSON(a)
 		return
 	}
 	fmt.Fprintf(t.out, "revision %d is in force at %d routers\n", a.Revision, a.Routers-len(a.Missing))
 }
 
-// serving counts the routers and names those that are below a revision.
-func (t *Tool) serving(ctx context.Context, revision int64) (n int, missing []string) {
-	for _, p := range t.processes(ctx) {
+// countRouters counts the routers and names those that are below a revision.
+func (t *Tool) countRouters(ctx context.Context, revision int64) (n int, missing []string) {
+	for _, p := range t.discoverProcesses(ctx) {
 		if p.err != nil {
 			missing = append(missing, p.door.String())
 			continue
--- a/ctl/apply_test.go
+++ b/ctl/apply_test.go
@@ -25,7 +25,7 @@
 	return fleet.Row{}, false, nil
 }
 
-func TestBaseReadsAgain(t *testing.T) {
+func TestBaseRevisionReadRetries(t *testing.T) {
 	cases := map[string]struct {
 		failures int
 		fails    bool
@@ -37,7 +37,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			tool := New(io.Discard, OutputTable, WithStores(&failingTable{failures: c.failures}, nil))
-			_, _, err := tool.base(t.Context(), -1)
+			_, _, err := tool.baseRevision(t.Context(), -1)
 			require.Equal(t, c.fails, err != nil)
 		})
 	}
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -34,7 +34,7 @@
 	client  *http.Client
 	scheme  string
 	out     io.Writer
-	form    Output
+	output  Output
 }
 
 // Option changes a [Tool] at its construction.
@@ -67,8 +67,8 @@
 const doorTimeout = 3 * time.Second
 
 // New returns a tool that prints to out.
-func New(out io.Writer, form Output, opts ...Option) *Tool {
-	t := &Tool{out: out, form: form, scheme: "http", client: &http.Client{Timeout: doorTimeout}}
+func New(out io.Writer, output Output, opts ...Option) *Tool {
+	t := &Tool{out: out, output: output, scheme: "http", client: &http.Client{Timeout: doorTimeout}}
 	for _, opt := range opts {
 		opt(t)
 	}
@@ -78,7 +78,7 @@
 // maxAnswer bounds a door's answer in bytes.
 const maxAnswer = 64 << 20
 
-func (t *Tool) ask(ctx context.Context, door netip.AddrPort, path string, into any) error {
+func (t *Tool) getJSON(ctx context.Context, door netip.AddrPort, path string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, t.scheme+"://"+door.String()+path, nil)
 	if err != nil {
 		return errs.Wrap(err)
@@ -97,14 +97,14 @@
 	return nil
 }
 
-func (t *Tool) json(v any) {
+func (t *Tool) printJSON(v any) {
 	enc := json.NewEncoder(t.out)
 	enc.SetIndent("", "  ")
 	_ = enc.Encode(v)
 }
 
-// table prints rows under a heading in aligned columns.
-func (t *Tool) table(heading string, fill func(row func(format string, args ...any))) error {
+// printTable prints rows under a heading in aligned columns.
+func (t *Tool) printTable(heading string, fill func(row func(format string, args ...any))) error {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, heading)
 	fill(func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) })
--- a/ctl/held.go
+++ b/ctl/held.go
@@ -15,48 +15,48 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// FleetHeld is a request under which targets ended, as the processes asked know it.
-type FleetHeld struct {
+// FleetHeldRequest is a request under which targets ended, as the processes asked know it.
+type FleetHeldRequest struct {
 	route.HeldRequest
 	// Processes is how many of the processes that answered hold it back, Asked how many answered.
 	Processes int `json:"processes"`
-	Asked     int `json:"asked"`
+	Answered  int `json:"asked"`
 }
 
 // Held prints the requests under which targets ended, as the processes with operators' doors at the
 // addresses know them; all processes of a fleet should know the same.
 func (t *Tool) Held(ctx context.Context, addrs []netip.AddrPort) error {
-	lists, err := t.askHeld(ctx, addrs)
+	lists, err := t.queryHeld(ctx, addrs)
 	if err != nil {
 		return err
 	}
-	held := joinHeld(lists)
-	if t.form == OutputJSON {
-		t.json(held)
+	held := mergeHeld(lists)
+	if t.output == OutputJSON {
+		t.printJSON(held)
 		return nil
 	}
-	return t.table("FINGERPRINT\tHELD\tLEFT\tBY\tORGANISATION\tSERVICE\tLAST END\tENDED UNDER IT", func(row func(string, ...any)) {
+	return t.printTable("FINGERPRINT\tHELD\tLEFT\tBY\tORGANISATION\tSERVICE\tLAST END\tENDED UNDER IT", func(row func(string, ...any)) {
 		for _, h := range held {
-			row("%s\t%t\t%s\t%d of %d\t%s\t%s\t%s ago\t%s", h.Print, h.Held, h.Left.Round(time.Second), h.Processes, h.Asked,
+			row("%s\t%t\t%s\t%d of %d\t%s\t%s\t%s ago\t%s", h.Print, h.Held, h.Left.Round(time.Second), h.Processes, h.Answered,
 				h.Org, h.Pool, h.Age.Round(time.Second), strings.Join(h.Targets, ", "))
 		}
 	})
 }
 
-// askHeld asks all processes at once; it fails where none answers.
-func (t *Tool) askHeld(ctx context.Context, addrs []netip.AddrPort) ([][]route.HeldRequest, error) {
+// queryHeld asks all processes at once; it fails where none answers.
+func (t *Tool) queryHeld(ctx context.Context, addrs []netip.AddrPort) ([][]route.HeldRequest, error) {
 	lists := make([][]route.HeldRequest, len(addrs))
-	faults := make([]error, len(addrs))
+	failures := make([]error, len(addrs))
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
-		wg.Go(func() { faults[i] = t.ask(ctx, addr, dispatch.PathHeld, &lists[i]) })
+		wg.Go(func() { failures[i] = t.getJSON(ctx, addr, dispatch.PathHeld, &lists[i]) })
 	}
 	wg.Wait()
 	var out [][]route.HeldRequest
 	var last error
 	for i := range addrs {
-		if faults[i] != nil {
-			last = faults[i]
+		if failures[i] != nil {
+			last = failures[i]
 			continue
 		}
 		out = append(out, lists[i])
@@ -67,24 +67,24 @@
 	return out, nil
 }
 
-// joinHeld joins what processes know, those that are held back by the most of them first.
-func joinHeld(lists [][]route.HeldRequest) []FleetHeld {
-	all := make(map[route.Fingerprint]*FleetHeld)
+// mergeHeld joins what processes know, those that are held back by the most of them first.
+func mergeHeld(lists [][]route.HeldRequest) []FleetHeldRequest {
+	all := make(map[route.Fingerprint]*FleetHeldRequest)
 	for _, list := range lists {
 		for _, h := range list {
 			known, ok := all[h.Print]
 			if !ok {
-				known = &FleetHeld{HeldRequest: h, Asked: len(lists)}
+				known = &FleetHeldRequest{HeldRequest: h, Answered: len(lists)}
 				all[h.Print] = known
 			}
-			known.join(h)
+			known.merge(h)
 		}
 	}
-	out := make([]FleetHeld, 0, len(all))
+	out := make([]FleetHeldRequest, 0, len(all))
 	for _, h := range all {
 		out = append(out, *h)
 	}
-	slices.SortFunc(out, func(a, b FleetHeld) int {
+	slices.SortFunc(out, func(a, b FleetHeldRequest) int {
 		if a.Processes != b.Processes {
 			return b.Processes - a.Processes
 		}
@@ -93,8 +93,8 @@
 	return out
 }
 
-// join takes what one process knows of the request.
-func (f *FleetHeld) join(h route.HeldRequest) {
+// merge takes what one process knows of the request.
+func (f *FleetHeldRequest) merge(h route.HeldRequest) {
 	if h.Held {
 		f.Held = true
 		f.Left = max(f.Left, h.Left)
--- a/ctl/held_test.go
+++ b/ctl/held_test.go
@@ -16,16 +16,16 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// heldDoor serves the operators' door of a process that knows of one request three targets ended under.
-func heldDoor(t *testing.T, f route.Fingerprint) (netip.AddrPort, *dispatch.Driver) {
+// startHeldServer serves the operators' door of a process that knows of one request three targets ended under.
+func startHeldServer(t *testing.T, f route.Fingerprint) (netip.AddrPort, *dispatch.Driver) {
 	d := dispatch.New(route.NewBoard())
 	d.Do(func(b *route.Board, now time.Time) []route.Action {
-		var words []route.CrashUpdate
+		var updates []route.CrashUpdate
 		for _, i := range []string{"i-1", "i-2", "i-3"} {
-			m := route.TargetKey{Target: netip.MustParseAddrPort("10.0.0.1:1"), Incarnation: route.Incarnation(i)}
-			words = append(words, route.CrashUpdate{CrashKey: route.CrashKey{Print: f, Target: m}})
+			key := route.TargetKey{Target: netip.MustParseAddrPort("10.0.0.1:1"), Incarnation: route.Incarnation(i)}
+			updates = append(updates, route.CrashUpdate{CrashKey: route.CrashKey{Print: f, Target: key}})
 		}
-		return b.TakeCrashes(now, words)
+		return b.TakeCrashes(now, updates)
 	})
 	mux := http.NewServeMux()
 	d.HandleHeld(mux)
@@ -37,19 +37,19 @@
 // Operators see what is held back over the processes that answer, and may release it at any of them.
 func TestHeld(t *testing.T) {
 	f := route.FingerprintOf("org", "POST", "host", "/", []byte("guilty"))
-	a, driver := heldDoor(t, f)
-	b, _ := heldDoor(t, route.FingerprintOf("org", "POST", "host", "/", []byte("another")))
+	a, driver := startHeldServer(t, f)
+	b, _ := startHeldServer(t, route.FingerprintOf("org", "POST", "host", "/", []byte("another")))
 	silent := netip.MustParseAddrPort("127.0.0.1:1")
 	var out bytes.Buffer
 	tool := New(&out, OutputJSON)
 	require.NoError(t, tool.Held(t.Context(), []netip.AddrPort{a, b, silent}))
-	var held []FleetHeld
+	var held []FleetHeldRequest
 	require.NoError(t, json.Unmarshal(out.Bytes(), &held))
 	require.Len(t, held, 2)
 	for _, h := range held {
 		require.True(t, h.Held)
 		require.Equal(t, 1, h.Processes)
-		require.Equal(t, 2, h.Asked)
+		require.Equal(t, 2, h.Answered)
 		require.Len(t, h.Targets, 3)
 		require.InDelta(t, 2*time.Minute, h.Left, float64(10*time.Second))
 	}
--- a/ctl/losses.go
+++ b/ctl/losses.go
@@ -24,10 +24,10 @@
 
 // The causes of late answers. Those of refusals are named as callers see them.
 const (
-	lateRepeated = "late: sent again after a failure"
-	lateHere     = "late: waited at the node"
-	lateTarget   = "late: at the target"
-	lateUnclear  = "late"
+	lateRetried = "late: sent again after a failure"
+	lateAtNode  = "late: waited at the node"
+	lateTarget  = "late: at the target"
+	lateUnknown = "late"
 )
 
 // Losses finds the requests among events that were not answered in time, in the
@@ -42,17 +42,17 @@
 			attempts[e.Request]++
 			targets[e.Request] = e.Target
 		case event.RequestRefused:
-			out = append(out, lossOf(e, "refused: "+refusalCause(e.Detail), targets))
+			out = append(out, newLoss(e, "refused: "+refusalCause(e.Detail), targets))
 		case event.AnswerUnfinished:
-			out = append(out, lossOf(e, "unfinished: "+refusalCause(e.Detail), targets))
+			out = append(out, newLoss(e, "unfinished: "+refusalCause(e.Detail), targets))
 		case event.RequestLate:
-			out = append(out, lossOf(e, lateCause(e.Detail, attempts[e.Request]), targets))
+			out = append(out, newLoss(e, lateCause(e.Detail, attempts[e.Request]), targets))
 		}
 	}
 	return out
 }
 
-func lossOf(e event.Event, cause string, targets map[string]string) Loss {
+func newLoss(e event.Event, cause string, targets map[string]string) Loss {
 	return Loss{
 		Request: e.Request, Cause: cause, Org: e.Org, Process: e.Process, Target: targets[e.Request], At: e.Stamp.Time,
 	}
@@ -69,11 +69,11 @@
 	l, err := event.ParseLateness(detail)
 	switch {
 	case err != nil:
-		return lateUnclear
+		return lateUnknown
 	case attempts > 1:
-		return lateRepeated
+		return lateRetried
 	case l.Sent > l.First-l.Sent:
-		return lateHere
+		return lateAtNode
 	}
 	return lateTarget
 }
@@ -104,8 +104,8 @@
 		return err
 	}
 	losses := Losses(events)
-	if t.form == OutputJSON {
-		t.json(losses)
+	if t.output == OutputJSON {
+		t.printJSON(losses)
 		return nil
 	}
 	type key struct{ cause, group string }
@@ -120,7 +120,7 @@
 	if by != byCause {
 		head += "\t" + strings.ToUpper(by)
 	}
-	return t.table(head, func(row func(string, ...any)) {
+	return t.printTable(head, func(row func(string, ...any)) {
 		for _, k := range keys {
 			row("%d\t%s\t%s", counts[k], k.cause, k.group)
 		}
--- a/ctl/losses_test.go
+++ b/ctl/losses_test.go
@@ -37,8 +37,8 @@
 		got[l.Request] = l.Cause
 	}
 	require.Equal(t, map[string]string{
-		"a": lateTarget, "b": lateHere, "c": lateRepeated, "d": "refused: overloaded", "e": "unfinished: answer_broken",
-		"g": lateUnclear,
+		"a": lateTarget, "b": lateAtNode, "c": lateRetried, "d": "refused: overloaded", "e": "unfinished: answer_broken",
+		"g": lateUnknown,
 	}, got)
 	require.ErrorContains(t, (&Tool{}).Losses(nil, "colour"), "colour")
 }
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		return err
 	}
-	if t.form == OutputJSON {
-		t.json(d)
+	if t.output == OutputJSON {
+		t.printJSON(d)
 		return nil
 	}
 	fmt.Fprintf(t.out, "# revision %d by %s at %s\n%s", d.Revision, d.Author, d.At.Format(time.RFC3339), d.Text)
@@ -44,7 +44,7 @@
 	if _, err := policy.Parse(file, text); err != nil {
 		return err
 	}
-	base, old, err := t.base(ctx, -1)
+	base, old, err := t.baseRevision(ctx, -1)
 	if err != nil {
 		return err
 	}
@@ -61,11 +61,11 @@
 	if err != nil {
 		return err
 	}
-	if t.form == OutputJSON {
-		t.json(docs)
+	if t.output == OutputJSON {
+		t.printJSON(docs)
 		return nil
 	}
-	return t.table("REVISION\tAUTHOR\tAT\tBYTES", func(row func(string, ...any)) {
+	return t.printTable("REVISION\tAUTHOR\tAT\tBYTES", func(row func(string, ...any)) {
 		for _, d := range docs {
 			row("%d\t%s\t%s\t%d", d.Revision, d.Author, d.At.Format(time.RFC3339), len(d.Text))
 		}
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -25,18 +25,18 @@
 	Pools []controller.PoolStatus `json:"pools,omitempty"`
 }
 
-// processes asks every door, those given and those the processes behind them know of.
-func (t *Tool) processes(ctx context.Context) []process {
-	asked := make(map[netip.AddrPort]bool)
+// discoverProcesses asks every door, those given and those the processes behind them know of.
+func (t *Tool) discoverProcesses(ctx context.Context) []process {
+	queried := make(map[netip.AddrPort]bool)
 	var all []process
 	next := t.doors
 	for len(next) > 0 {
-		answers := t.askAll(ctx, next, asked)
+		answers := t.queryStatuses(ctx, next, queried)
 		next = nil
 		for _, p := range answers {
 			all = append(all, p)
 			for _, peer := range p.status.Peers {
-				if peer.Door.IsValid() && !asked[peer.Door] {
+				if peer.Door.IsValid() && !queried[peer.Door] {
 					next = append(next, peer.Door)
 				}
 			}
@@ -45,20 +45,20 @@
 	return all
 }
 
-func (t *Tool) askAll(ctx context.Context, doors []netip.AddrPort, asked map[netip.AddrPort]bool) []process {
+func (t *Tool) queryStatuses(ctx context.Context, doors []netip.AddrPort, queried map[netip.AddrPort]bool) []process {
 	var (
 		mu  sync.Mutex
 		wg  sync.WaitGroup
 		out []process
 	)
 	for _, door := range doors {
-		if asked[door] {
+		if queried[door] {
 			continue
 		}
-		asked[door] = true
+		queried[door] = true
 		wg.Go(func() {
 			p := process{door: door}
-			p.err = t.ask(ctx, door, "/v1/status", &p.status)
+			p.err = t.getJSON(ctx, door, "/v1/status", &p.status)
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, p)
@@ -70,16 +70,16 @@
 
 // Status prints what every process that can be reached says of itself.
 func (t *Tool) Status(ctx context.Context) error {
-	all := t.processes(ctx)
-	if t.form == OutputJSON {
+	all := t.discoverProcesses(ctx)
+	if t.output == OutputJSON {
 		statuses := make([]processStatus, 0, len(all))
 		for _, p := range all {
 			statuses = append(statuses, p.status)
 		}
-		t.json(statuses)
+		t.printJSON(statuses)
 		return nil
 	}
-	err := t.table("PROCESS\tKIND\tDOOR\tREVISION\tSERVING\tPEERS\tIN FLIGHT", func(row func(string, ...any)) {
+	err := t.printTable("PROCESS\tKIND\tDOOR\tREVISION\tSERVING\tPEERS\tIN FLIGHT", func(row func(string, ...any)) {
 		for _, p := range all {
 			if p.err != nil {
 				row("?\t?\t%s\t\t%v\t\t", p.door, p.err)
@@ -92,14 +92,14 @@
 	if err != nil {
 		return err
 	}
-	if err := t.targets(all); err != nil {
+	if err := t.printTargets(all); err != nil {
 		return err
 	}
-	return t.pools(all)
+	return t.printPools(all)
 }
 
-// pools prints, for each pool whose lease holder answers, its engines and the work on them.
-func (t *Tool) pools(all []process) error {
+// printPools prints, for each pool whose lease holder answers, its engines and the work on them.
+func (t *Tool) printPools(all []process) error {
 	for _, p := range all {
 		for _, pool := range p.status.Pools {
 			if !pool.Held {
@@ -112,7 +112,7 @@
 			if pool.Blocked != "" {
 				fmt.Fprintf(t.out, "nothing more is changed: %s\n", pool.Blocked)
 			}
-			if err := t.engines(pool.Engines); err != nil {
+			if err := t.printEngines(pool.Engines); err != nil {
 				return err
 			}
 		}
@@ -120,22 +120,22 @@
 	return nil
 }
 
-func (t *Tool) engines(engines []controller.EngineStatus) error {
-	return t.table("ENGINE\tDECLARED\tSEEN\tBUSY\tCHANGE\tWHY", func(row func(string, ...any)) {
+func (t *Tool) printEngines(engines []controller.EngineStatus) error {
+	return t.printTable("ENGINE\tDECLARED\tSEEN\tBUSY\tCHANGE\tWHY", func(row func(string, ...any)) {
 		for _, e := range engines {
 			row("%s\t%v\t%v\t%d\t%s\t%s", e.Name, e.Declared, e.Seen, e.Busy, e.Change, e.Why)
 		}
 	})
 }
 
-// targets prints the targets as the first router that answers sees them.
-func (t *Tool) targets(all []process) error {
+// printTargets prints the targets as the first router that answers sees them.
+func (t *Tool) printTargets(all []process) error {
 	for _, p := range all {
 		if p.err != nil || p.status.Kind != peer.KindRouter {
 			continue
 		}
 		fmt.Fprintln(t.out)
-		return t.table("TARGET\tADDRESS\tPOOLS\tWEIGHTS\tLEAVING\tFAILING\tLIMIT\tRESTS\tHORIZON", func(row func(string, ...any)) {
+		return t.printTable("TARGET\tADDRESS\tPOOLS\tWEIGHTS\tLEAVING\tFAILING\tLIMIT\tRESTS\tHORIZON", func(row func(string, ...any)) {
 			for _, v := range p.status.Targets {
 				limit := "none"
 				if v.Limit != nil {
--- a/ctl/timeline.go
+++ b/ctl/timeline.go
@@ -15,40 +15,40 @@
 // order; extra names the doors of targets that keep events too.
 // Log files are read in place of asking processes where there are any.
 func (t *Tool) Timeline(ctx context.Context, f event.Filter, extra []netip.AddrPort, logs []string) error {
-	events, missed, err := t.gather(ctx, f, extra, logs)
+	events, failures, err := t.collectEvents(ctx, f, extra, logs)
 	if err != nil {
 		return err
 	}
-	if t.form == OutputJSON {
-		t.json(events)
+	if t.output == OutputJSON {
+		t.printJSON(events)
 		return nil
 	}
-	for _, err := range missed {
+	for _, err := range failures {
 		fmt.Fprintln(os.Stderr, "warning: a process is missing from the time line:", err)
 	}
-	return t.table("TIME\tPROCESS\tEVENT\tREQUEST\tATTEMPT\tTARGET\tDETAIL", func(row func(string, ...any)) {
+	return t.printTable("TIME\tPROCESS\tEVENT\tREQUEST\tATTEMPT\tTARGET\tDETAIL", func(row func(string, ...any)) {
 		for _, e := range events {
 			row("%s\t%s\t%d %s\t%s\t%s\t%s\t%s", e.Stamp.Time.Format("15:04:05.000000"), e.Process, e.Code, e.Name, e.Request, e.Attempt, e.Target, e.Detail)
 		}
 	})
 }
 
-// gather reads events from logs, or from the processes where no log is named.
-func (t *Tool) gather(ctx context.Context, f event.Filter, extra []netip.AddrPort, logs []string) ([]event.Event, []error, error) {
+// collectEvents reads events from logs, or from the processes where no log is named.
+func (t *Tool) collectEvents(ctx context.Context, f event.Filter, extra []netip.AddrPort, logs []string) ([]event.Event, []error, error) {
 	if len(logs) > 0 {
 		events, err := logEvents(logs, f)
 		return events, nil, err
 	}
-	events, missed := t.events(ctx, f, extra)
-	return events, missed, nil
+	events, failures := t.fetchEvents(ctx, f, extra)
+	return events, failures, nil
 }
 
-// events gathers the events that pass the filter from every process.
-func (t *Tool) events(ctx context.Context, f event.Filter, extra []netip.AddrPort) (merged []event.Event, missed []error) {
+// fetchEvents gathers the events that pass the filter from every process.
+func (t *Tool) fetchEvents(ctx context.Context, f event.Filter, extra []netip.AddrPort) (merged []event.Event, failures []error) {
 	doors := extra
-	for _, p := range t.processes(ctx) {
+	for _, p := range t.discoverProcesses(ctx) {
 		if p.err != nil {
-			missed = append(missed, p.err)
+			failures = append(failures, p.err)
 			continue
 		}
 		doors = append(doors, p.door)
@@ -56,27 +56,27 @@
 	var lists [][]event.Event
 	for _, door := range doors {
 		var list []event.Event
-		if err := t.ask(ctx, door, "/v1/events?"+f.Query().Encode(), &list); err != nil {
-			missed = append(missed, err)
+		if err := t.getJSON(ctx, door, "/v1/events?"+f.Query().Encode(), &list); err != nil {
+			failures = append(failures, err)
 			continue
 		}
 		lists = append(lists, list)
 	}
-	return event.Merge(lists...), missed
+	return event.Merge(lists...), failures
 }
 
 // Explain prints why a request went where it did: its placements and ends.
 // Log files are read in place of asking processes where there are any.
 func (t *Tool) Explain(ctx context.Context, request string, logs []string) error {
-	events, _, err := t.gather(ctx, event.Filter{Request: request}, nil, logs)
+	events, _, err := t.collectEvents(ctx, event.Filter{Request: request}, nil, logs)
 	if err != nil {
 		return err
 	}
 	if len(events) == 0 {
 		return errs.Errorf("neither a process that can be reached nor a log given knows request %s", request)
 	}
-	if t.form == OutputJSON {
-		t.json(events)
+	if t.output == OutputJSON {
+		t.printJSON(events)
 		return nil
 	}
 	for _, e := range events {
--- a/ctl/view.go
+++ b/ctl/view.go
@@ -24,7 +24,7 @@
 type NodeView struct {
 	Addr netip.AddrPort `json:"addr"`
 	// Fault says why the node's counters were not read.
-	Fault    string `json:"fault,omitempty"`
+	Error    string `json:"fault,omitempty"`
 	Revision int    `json:"revision"`
 	Nodes    int    `json:"nodes"`
 	Relays   bool   `json:"relays"`
@@ -35,7 +35,7 @@
 	Relay     Age `json:"relay"`
 	Confirmed Age `json:"confirmed"`
 	// Alone is how many requests came while no relay had told anything.
-	Alone int `json:"alone"`
+	WithoutRelay int `json:"alone"`
 	// OwnBytes and OtherBytes went to and came from nodes of the own failure domain and of others.
 	OwnBytes   int64 `json:"ownBytes"`
 	OtherBytes int64 `json:"otherBytes"`
@@ -45,7 +45,7 @@
 // nothing was measured.
 type Age struct {
 	Median time.Duration `json:"medianNs"`
-	Worst  time.Duration `json:"p99Ns"`
+	P99    time.Duration `json:"p99Ns"`
 }
 
 // View prints how the nodes with counters at the addresses see the fleet, a line each,
@@ -54,22 +54,22 @@
 	views := make([]NodeView, len(addrs))
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
-		wg.Go(func() { views[i] = readView(ctx, addr, path) })
+		wg.Go(func() { views[i] = fetchView(ctx, addr, path) })
 	}
 	wg.Wait()
 	slices.SortFunc(views, func(a, b NodeView) int { return a.Addr.Compare(b.Addr) })
-	if t.form == OutputJSON {
-		t.json(views)
+	if t.output == OutputJSON {
+		t.printJSON(views)
 		return nil
 	}
-	if err := t.table("NODE\tREVISION\tNODES\tRELAYS\tTARGETS\tLIST\tRELAY\tCONFIRMED\tALONE\tOWN MB\tOTHER MB", func(row func(string, ...any)) {
+	if err := t.printTable("NODE\tREVISION\tNODES\tRELAYS\tTARGETS\tLIST\tRELAY\tCONFIRMED\tALONE\tOWN MB\tOTHER MB", func(row func(string, ...any)) {
 		for _, v := range views {
-			if v.Fault != "" {
-				row("%s\t%s", v.Addr, v.Fault)
+			if v.Error != "" {
+				row("%s\t%s", v.Addr, v.Error)
 				continue
 			}
 			row("%s\t%d\t%d\t%t\t%d\t%s\t%s\t%s\t%d\t%.1f\t%.1f", v.Addr, v.Revision, v.Nodes, v.Relays, v.Targets,
-				v.List, v.Relay, v.Confirmed, v.Alone, float64(v.OwnBytes)/1e6, float64(v.OtherBytes)/1e6)
+				v.List, v.Relay, v.Confirmed, v.WithoutRelay, float64(v.OwnBytes)/1e6, float64(v.OtherBytes)/1e6)
 		}
 	}); err != nil {
 		return err
@@ -82,21 +82,21 @@
 
 // String returns the age as a table shows it.
 func (a Age) String() string {
-	if a.Worst == 0 {
+	if a.P99 == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%s/%s", a.Median.Round(time.Millisecond), a.Worst.Round(time.Millisecond))
+	return fmt.Sprintf("%s/%s", a.Median.Round(time.Millisecond), a.P99.Round(time.Millisecond))
 }
 
 // disagreements says on what the nodes that answered do not agree, and how many did not.
 func disagreements(views []NodeView) []string {
 	var out []string
-	silent := 0
+	unanswered := 0
 	counts := map[string]map[int]int{"revision": {}, "nodes": {}, "targets": {}}
 	relays := 0
 	for _, v := range views {
-		if v.Fault != "" {
-			silent++
+		if v.Error != "" {
+			unanswered++
 			continue
 		}
 		counts["revision"][v.Revision]++
@@ -106,7 +106,7 @@
 			relays++
 		}
 	}
-	out = append(out, fmt.Sprintf("%d asked, %d did not answer, %d relay", len(views), silent, relays))
+	out = append(out, fmt.Sprintf("%d asked, %d did not answer, %d relay", len(views), unanswered, relays))
 	for _, what := range []string{"revision", "nodes", "targets"} {
 		if len(counts[what]) < 2 {
 			continue
@@ -121,17 +121,17 @@
 	return out
 }
 
-// mostCounters bounds what is read of one node's counters, some 40 KB on a busy node.
-const mostCounters = 4 << 20
+// maxMetricsBytes bounds what is read of one node's counters, some 40 KB on a busy node.
+const maxMetricsBytes = 4 << 20
 
-func readView(ctx context.Context, addr netip.AddrPort, path string) NodeView {
+func fetchView(ctx context.Context, addr netip.AddrPort, path string) NodeView {
 	v := NodeView{Addr: addr}
 	text, err := getText(ctx, "http://"+addr.String()+path)
 	if err == nil {
-		err = v.read(text)
+		err = v.parse(text)
 	}
 	if err != nil {
-		v.Fault = err.Error()
+		v.Error = err.Error()
 	}
 	return v
 }
@@ -149,15 +149,15 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, errs.Errorf("%s", res.Status)
 	}
-	data, err := io.ReadAll(io.LimitReader(res.Body, mostCounters))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxMetricsBytes))
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
 	return strings.NewReader(string(data)), nil
 }
 
-// read fills the view in from a node's counters.
-func (v *NodeView) read(text io.Reader) error {
+// parse fills the view in from a node's counters.
+func (v *NodeView) parse(text io.Reader) error {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(text)
 	if err != nil {
@@ -170,12 +170,12 @@
 	v.Nodes = int(sum(families["pathhead_nodes"], nil))
 	v.Relays = sum(families["pathhead_relays"], nil) > 0
 	v.Targets = int(sum(families["pathhead_targets"], nil))
-	v.Alone = int(sum(families["pathhead_requests_without_relay_total"], nil))
-	told := families["pathhead_peer_bytes_total"]
-	v.OwnBytes = int64(sum(told, map[string]string{"domain": "own"}))
-	v.OtherBytes = int64(sum(told, map[string]string{"domain": "other"}))
+	v.WithoutRelay = int(sum(families["pathhead_requests_without_relay_total"], nil))
+	peerBytes := families["pathhead_peer_bytes_total"]
+	v.OwnBytes = int64(sum(peerBytes, map[string]string{"domain": "own"}))
+	v.OtherBytes = int64(sum(peerBytes, map[string]string{"domain": "other"}))
 	ages := families["pathhead_view_age_seconds_bucket"]
-	v.List, v.Relay, v.Confirmed = ageOf(ages, "list"), ageOf(ages, "relay"), ageOf(ages, "configuration")
+	v.List, v.Relay, v.Confirmed = parseAge(ages, "list"), parseAge(ages, "relay"), parseAge(ages, "configuration")
 	return nil
 }
 
@@ -211,9 +211,9 @@
 // ageBucket is one range of a histogram: its upper end and how many are in it.
 type ageBucket struct{ upper, count float64 }
 
-// ageOf reads the percentiles of one age off a histogram's ranges, each as its upper end
+// parseAge reads the percentiles of one age off a histogram's ranges, each as its upper end
 // ("vmrange" of VictoriaMetrics/metrics, some 18 ranges to a power of ten).
-func ageOf(f *dto.MetricFamily, of string) Age {
+func parseAge(f *dto.MetricFamily, of string) Age {
 	var buckets []ageBucket
 	total := 0.0
 	for _, m := range f.GetMetric() {
@@ -238,5 +238,5 @@
 		}
 		return 0
 	}
-	return Age{Median: quantile(0.5), Worst: quantile(0.99)}
+	return Age{Median: quantile(0.5), P99: quantile(0.99)}
 }
--- a/ctl/view_test.go
+++ b/ctl/view_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// countersOf serves the counters of a node that knows so many nodes.
-func countersOf(t *testing.T, nodes float64) netip.AddrPort {
+// serveNodeMetrics serves the counters of a node that knows so many nodes.
+func serveNodeMetrics(t *testing.T, nodes float64) netip.AddrPort {
 	set := metrics.NewSet()
 	for name, value := range map[string]float64{
 		"pathhead_revision": 7, "pathhead_nodes": nodes, "pathhead_relays": 1, "pathhead_targets": 123,
@@ -45,7 +45,7 @@
 	failing := serveText(t, func(w http.ResponseWriter) { w.WriteHeader(http.StatusInternalServerError) })
 	var out bytes.Buffer
 	tool := New(&out, OutputTable)
-	addrs := []netip.AddrPort{countersOf(t, 195), countersOf(t, 194), countersOf(t, 195), garbled, other, failing}
+	addrs := []netip.AddrPort{serveNodeMetrics(t, 195), serveNodeMetrics(t, 194), serveNodeMetrics(t, 195), garbled, other, failing}
 	require.NoError(t, tool.View(t.Context(), addrs, "/metrics"))
 	text := out.String()
 	for _, want := range []string{"6 asked, 3 did not answer, 3 relay", "nodes differ: 194 at 1, 195 at 2", "no counters of a pathhead-node", "500 Internal"} {
@@ -57,9 +57,9 @@
 
 	// A range of the histogram is 14% wide, and an age is read off its upper end.
 	const width = 0.14
-	v := readView(t.Context(), addrs[0], "/metrics")
+	v := fetchView(t.Context(), addrs[0], "/metrics")
 	require.Equal(t, 195, v.Nodes)
 	require.InDelta(t, 150*time.Millisecond, v.List.Median, width*float64(150*time.Millisecond))
-	require.InDelta(t, 200*time.Millisecond, v.List.Worst, width*float64(200*time.Millisecond))
+	require.InDelta(t, 200*time.Millisecond, v.List.P99, width*float64(200*time.Millisecond))
 	require.Zero(t, v.Relay)
 }
--- a/router/callers.go
+++ b/router/callers.go
@@ -27,7 +27,7 @@
 	app.Configure(iris.WithoutBanner, iris.WithoutStartupLog, iris.WithoutBodyConsumptionOnUnmarshal, iris.WithoutPathCorrection)
 	app.Get("/healthz", func(ctx iris.Context) { _, _ = ctx.WriteString("ok\n") })
 	app.Get("/readyz", r.handleReady)
-	app.Get("/v1/models", r.withOrg(func(v *visit) { r.protocol.Models(v.w, v.snap.Config.Models) }))
+	app.Get("/v1/models", r.withOrg(func(v *callerRequest) { r.protocol.Models(v.w, v.snap.Config.Models) }))
 	app.Post("/v1/chat/completions", r.withOrg(r.handleCompletion(true)))
 	app.Post("/v1/completions", r.withOrg(r.handleCompletion(false)))
 	app.Any("/{path:path}", r.withOrg(r.handleService))
@@ -50,23 +50,23 @@
 	_, _ = ctx.WriteString("ready\n")
 }
 
-// visit is what is known of a call when its key was checked.
-type visit struct {
-	w      http.ResponseWriter
-	r      *http.Request
-	caller dispatch.Caller
-	org    *policy.Org
-	snap   *policy.Snapshot
-	begun  time.Time
-	labels map[string]string
+// callerRequest is what is known of a call when its key was checked.
+type callerRequest struct {
+	w         http.ResponseWriter
+	r         *http.Request
+	caller    dispatch.Caller
+	org       *policy.Org
+	snap      *policy.Snapshot
+	startedAt time.Time
+	labels    map[string]string
 	// print is known once the body was read.
-	print route.Fingerprint
+	fingerprint route.Fingerprint
 }
 
 // withOrg checks a caller's key before anything else is read of the call.
-func (r *Router) withOrg(next func(v *visit)) iris.Handler {
+func (r *Router) withOrg(next func(v *callerRequest)) iris.Handler {
 	return func(ctx iris.Context) {
-		v := &visit{w: rawWriter(ctx), r: ctx.Request(), begun: time.Now()}
+		v := &callerRequest{w: rawWriter(ctx), r: ctx.Request(), startedAt: time.Now()}
 		v.caller = r.protocol.Caller(v.r.Header)
 		if r.authenticate(v) {
 			next(v)
@@ -77,7 +77,7 @@
 // authenticate checks a call's key against the configuration in force, or
 // answers why it can't. It is done again once the body is there, which can take
 // longer than a revision lasts.
-func (r *Router) authenticate(v *visit) bool {
+func (r *Router) authenticate(v *callerRequest) bool {
 	serving := r.awaitServing(v.r.Context())
 	r.Lock()
 	v.snap = r.Board().Snapshot()
@@ -97,7 +97,7 @@
 	v.org = org
 	set, err := requestLabels(v.caller.Labels, org)
 	if err != nil {
-		r.bad(v, http.StatusBadRequest, "invalid_labels", err)
+		r.rejectInvalid(v, http.StatusBadRequest, "invalid_labels", err)
 		return false
 	}
 	v.labels = set
@@ -105,15 +105,15 @@
 }
 
 // A request that comes while a newer revision is known and on its way waits for
-// it for at most catchUpTime: fetching one takes milliseconds.
+// it for at most catchUpTimeout: fetching one takes milliseconds.
 const (
-	catchUpTime  = 500 * time.Millisecond
-	catchUpPause = 2 * time.Millisecond
+	catchUpTimeout  = 500 * time.Millisecond
+	catchUpInterval = 2 * time.Millisecond
 )
 
 // awaitServing reports whether the router serves now or once it has caught up.
 func (r *Router) awaitServing(ctx context.Context) bool {
-	for end := time.Now().Add(catchUpTime); ; {
+	for end := time.Now().Add(catchUpTimeout); ; {
 		r.Lock()
 		serving := r.applyServing()
 		behind := r.adoption.Revision() > 0 && r.adoption.Behind()
@@ -121,7 +121,7 @@
 		if serving || !behind || time.Now().After(end) || ctx.Err() != nil {
 			return serving
 		}
-		time.Sleep(catchUpPause)
+		time.Sleep(catchUpInterval)
 	}
 }
 
@@ -146,13 +146,13 @@
 // bodyTimeout bounds the time a caller may take to send its body.
 const bodyTimeout = 10 * time.Second
 
-var errTooLarge = errs.Tag("the body is too large")
+var errBodyTooLarge = errs.Tag("the body is too large")
 
 // readBody reads a call's body within the limits of size and time.
-func readBody(v *visit) ([]byte, error) {
+func readBody(v *callerRequest) ([]byte, error) {
 	limit := int64(v.snap.Config.Requests.MaxBody)
 	if v.r.ContentLength > limit {
-		return nil, errTooLarge.Errorf("%d bytes, at most %d are taken", v.r.ContentLength, limit)
+		return nil, errBodyTooLarge.Errorf("%d bytes, at most %d are taken", v.r.ContentLength, limit)
 	}
 	rc := http.NewResponseController(v.w)
 	if err := rc.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
@@ -167,34 +167,34 @@
 		return nil, errs.Errorf("the body did not arrive: %w", err)
 	}
 	if int64(b.Len()) > limit {
-		return nil, errTooLarge.Errorf("at most %d bytes are taken", limit)
+		return nil, errBodyTooLarge.Errorf("at most %d bytes are taken", limit)
 	}
 	return b.Bytes(), rc.SetReadDeadline(time.Time{})
 }
 
-// bad answers a request that is wrong in itself; it never ran.
-func (r *Router) bad(v *visit, status int, code string, err error) {
+// rejectInvalid answers a request that is wrong in itself; it never ran.
+func (r *Router) rejectInvalid(v *callerRequest, status int, code string, err error) {
 	r.counters.badRequests.Inc()
 	r.protocol.Fault(v.w, status, code, err.Error())
 }
 
-// body reads the body or answers why it can't be taken.
-func (r *Router) body(v *visit) ([]byte, bool) {
+// receiveBody reads the body or answers why it can't be taken.
+func (r *Router) receiveBody(v *callerRequest) ([]byte, bool) {
 	data, err := readBody(v)
 	switch {
 	case err == nil:
 		if !r.authenticate(v) {
 			return nil, false
 		}
-		v.print = route.FingerprintOf(v.org.Name, v.r.Method, v.r.Host, v.r.URL.RequestURI(), data)
+		v.fingerprint = route.FingerprintOf(v.org.Name, v.r.Method, v.r.Host, v.r.URL.RequestURI(), data)
 		return data, true
-	case errors.Is(err, errTooLarge):
+	case errors.Is(err, errBodyTooLarge):
 		drainBody(v)
 		v.w.Header().Set("Connection", "close")
-		r.bad(v, http.StatusRequestEntityTooLarge, "body_too_large", err)
+		r.rejectInvalid(v, http.StatusRequestEntityTooLarge, "body_too_large", err)
 	default:
 		v.w.Header().Set("Connection", "close")
-		r.bad(v, http.StatusRequestTimeout, "body_incomplete", err)
+		r.rejectInvalid(v, http.StatusRequestTimeout, "body_incomplete", err)
 	}
 	return nil, false
 }
@@ -202,75 +202,75 @@
 // The bounds of reading a refused body to its end, without which a caller that
 // is still sending sees a reset connection in place of the answer.
 const (
-	drainBytes = 16 << 20
-	drainTime  = time.Second
+	bodyDrainLimit   = 16 << 20
+	bodyDrainTimeout = time.Second
 )
 
-func drainBody(v *visit) {
-	if http.NewResponseController(v.w).SetReadDeadline(time.Now().Add(drainTime)) == nil {
-		_, _ = io.CopyN(io.Discard, v.r.Body, drainBytes)
+func drainBody(v *callerRequest) {
+	if http.NewResponseController(v.w).SetReadDeadline(time.Now().Add(bodyDrainTimeout)) == nil {
+		_, _ = io.CopyN(io.Discard, v.r.Body, bodyDrainLimit)
 	}
 }
 
 // handleCompletion serves the OpenAI completion paths.
-func (r *Router) handleCompletion(chat bool) func(*visit) {
-	return func(v *visit) {
-		data, ok := r.body(v)
+func (r *Router) handleCompletion(chat bool) func(*callerRequest) {
+	return func(v *callerRequest) {
+		data, ok := r.receiveBody(v)
 		if !ok {
 			return
 		}
 		for try := 1; ; try++ {
-			again := r.tryCompletion(v, data, chat, try < checkTries)
-			if !again || !r.authenticate(v) {
+			retry := r.tryCompletion(v, data, chat, try < maxCheckAttempts)
+			if !retry || !r.authenticate(v) {
 				return
 			}
 		}
 	}
 }
 
-// checkTries is how often a request is checked anew because the configuration
+// maxCheckAttempts is how often a request is checked anew because the configuration
 // changed between its check and its admission.
-const checkTries = 3
+const maxCheckAttempts = 3
 
 // tryCompletion checks a body and carries it to its end; it asks for another try
 // if that is allowed and the configuration changed on the way.
-func (r *Router) tryCompletion(v *visit, data []byte, chat, mayAgain bool) (again bool) {
+func (r *Router) tryCompletion(v *callerRequest, data []byte, chat, mayRetry bool) (retry bool) {
 	comp, err := r.protocol.Completion(data, chat)
 	if err != nil {
-		r.bad(v, http.StatusBadRequest, "invalid_request", err)
+		r.rejectInvalid(v, http.StatusBadRequest, "invalid_request", err)
 		return false
 	}
-	asked := comp.Ask()
-	model, adapter, ok := v.snap.Model(asked.Model)
+	params := comp.Ask()
+	model, adapter, ok := v.snap.Model(params.Model)
 	if !ok {
-		r.bad(v, http.StatusNotFound, "model_not_found", fmt.Errorf("model %q is not configured", asked.Model))
+		r.rejectInvalid(v, http.StatusNotFound, "model_not_found", fmt.Errorf("model %q is not configured", params.Model))
 		return false
 	}
-	if n := route.Tokens(len(asked.Text)); n > model.MaxPromptTokens {
+	if n := route.Tokens(len(params.Text)); n > model.MaxPromptTokens {
 		err := fmt.Errorf("the prompt has about %d tokens, %s takes %d", n, model.Name, model.MaxPromptTokens)
-		r.bad(v, http.StatusBadRequest, "context_length_exceeded", err)
+		r.rejectInvalid(v, http.StatusBadRequest, "context_length_exceeded", err)
 		return false
 	}
 	answer, refusal := r.complete(v, comp, model, adapter)
 	if refusal == nil {
 		return false
 	}
-	if mayAgain && (refusal.Cause == route.CauseChanged || refusal.Cause == route.CauseFenced) {
+	if mayRetry && (refusal.Cause == route.CauseChanged || refusal.Cause == route.CauseFenced) {
 		return true
 	}
 	answer.Fail(*refusal)
 	return false
 }
 
-// request fills in what all requests have.
-func (v *visit) request(id, pool string, timeout time.Duration) route.Request {
+// newRequest fills in what all requests have.
+func (v *callerRequest) newRequest(id, pool string, timeout time.Duration) route.Request {
 	req := route.Request{
 		ID:        id,
 		Revision:  v.snap.Revision,
 		Org:       v.org.Name,
-		Print:     v.print,
+		Print:     v.fingerprint,
 		Pool:      pool,
-		Deadline:  v.begun.Add(timeout),
+		Deadline:  v.startedAt.Add(timeout),
 		QueueTime: time.Duration(v.snap.Config.Requests.QueueTimeout),
 	}
 	if p, ok := v.snap.PolicyFor(v.labels); ok {
--- a/router/config.go
+++ b/router/config.go
@@ -18,7 +18,7 @@
 // table, the object store and the peers at once; later the table, and the
 // object store only while the table is out.
 func (r *Router) configLoop(ctx context.Context) {
-	r.firstConfig(ctx)
+	r.initialConfig(ctx)
 	pending := 0
 	for {
 		t := time.NewTimer(r.jitter(r.set.ConfigEvery))
@@ -27,29 +27,29 @@
 			t.Stop()
 			return
 		case <-t.C:
-		case <-r.wake:
+		case <-r.configWake:
 			t.Stop()
 		}
-		pending = r.refresh(ctx, pending)
+		pending = r.refreshConfig(ctx, pending)
 	}
 }
 
-func (r *Router) firstConfig(ctx context.Context) {
+func (r *Router) initialConfig(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { r.fromTable(ctx) })
-	wg.Go(func() { r.fromObjects(ctx) })
-	wg.Go(func() { r.fromPeers(ctx) })
+	wg.Go(func() { r.adoptFromTable(ctx) })
+	wg.Go(func() { r.adoptFromObjects(ctx) })
+	wg.Go(func() { r.adoptFromPeers(ctx) })
 	wg.Wait()
 }
 
-// refresh reads the head once and returns for how many reads a newer revision
+// refreshConfig reads the head once and returns for how many reads a newer revision
 // has been accepted without being in force.
-func (r *Router) refresh(ctx context.Context, pending int) int {
-	head, ok := r.fromTable(ctx)
+func (r *Router) refreshConfig(ctx context.Context, pending int) int {
+	head, ok := r.adoptFromTable(ctx)
 	if !ok {
-		r.fromObjects(ctx)
+		r.adoptFromObjects(ctx)
 		if r.behind() {
-			r.fromPeers(ctx)
+			r.adoptFromPeers(ctx)
 		}
 		return 0
 	}
@@ -57,18 +57,18 @@
 		return 0
 	}
 	if pending++; pending > 1 {
-		r.confirm(ctx, head.Revision)
+		r.confirmRevision(ctx, head.Revision)
 	}
 	return pending
 }
 
-// fromTable reads the head and adopts what is in force.
-func (r *Router) fromTable(ctx context.Context) (fleet.Head, bool) {
+// adoptFromTable reads the head and adopts what is in force.
+func (r *Router) adoptFromTable(ctx context.Context) (fleet.Head, bool) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	head, err := r.configs.Head(ctx)
-	r.storeState(err)
+	r.setStoreState(err)
 	if err != nil {
 		return head, false
 	}
@@ -76,23 +76,23 @@
 	if head.InForce > r.revision() {
 		d, err := r.configs.Get(ctx, head.InForce)
 		if err != nil {
-			r.storeState(err)
+			r.setStoreState(err)
 			return head, false
 		}
 		r.adopt(d)
 	}
 	r.Lock()
 	defer r.Unlock()
-	r.adoption.Confirm(begun, head.InForce)
+	r.adoption.Confirm(startedAt, head.InForce)
 	r.applyServing()
 	return head, true
 }
 
-// fromObjects adopts the newest revision in the object store, which is never below one in force.
-func (r *Router) fromObjects(ctx context.Context) {
+// adoptFromObjects adopts the newest revision in the object store, which is never below one in force.
+func (r *Router) adoptFromObjects(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	d, ok, err := r.configs.Confirmed(ctx, r.revision())
 	if err != nil {
 		return
@@ -103,13 +103,13 @@
 	r.Lock()
 	defer r.Unlock()
 	if rev := max(d.Revision, r.adoption.Revision()); rev > 0 {
-		r.adoption.Confirm(begun, rev)
+		r.adoption.Confirm(startedAt, rev)
 	}
 	r.applyServing()
 }
 
-// fromPeers adopts the newest revision that a seed or live peer serves under.
-func (r *Router) fromPeers(ctx context.Context) {
+// adoptFromPeers adopts the newest revision that a seed or live peer serves under.
+func (r *Router) adoptFromPeers(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, addr := range r.gossip.ExchangeWithAll(ctx) {
 		wg.Go(func() {
@@ -121,8 +121,8 @@
 	wg.Wait()
 }
 
-// confirm helps an accepted revision into force whose operator may be gone.
-func (r *Router) confirm(ctx context.Context, revision int64) {
+// confirmRevision helps an accepted revision into force whose operator may be gone.
+func (r *Router) confirmRevision(ctx context.Context, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	d, err := r.configs.Get(ctx, revision)
@@ -133,7 +133,7 @@
 		return
 	}
 	r.events.Record(event.Event{Code: event.ConfigConfirmed, Revision: revision})
-	r.poke()
+	r.wakeConfig()
 }
 
 // adopt serves under a document if it is newer than the present one and compiles.
@@ -162,14 +162,14 @@
 }
 
 // setStoreState notes whether the table answers.
-func (r *Router) storeState(err error) {
+func (r *Router) setStoreState(err error) {
 	r.Lock()
 	defer r.Unlock()
-	was := r.adoption.Status(time.Now()).TableDown
+	wasDown := r.adoption.Status(time.Now()).TableDown
 	switch {
-	case err != nil && !was:
+	case err != nil && !wasDown:
 		r.events.Record(event.Event{Code: event.StoreDown, Detail: err.Error()})
-	case err == nil && was:
+	case err == nil && wasDown:
 		r.events.Record(event.Event{Code: event.StoreBack})
 	}
 	if err != nil {
@@ -192,10 +192,10 @@
 	return r.adoption.Revision() == 0 || r.adoption.Behind()
 }
 
-// poke makes the configuration loop look at once.
-func (r *Router) poke() {
+// wakeConfig makes the configuration loop look at once.
+func (r *Router) wakeConfig() {
 	select {
-	case r.wake <- struct{}{}:
+	case r.configWake <- struct{}{}:
 	default:
 	}
 }
--- a/router/engine.go
+++ b/router/engine.go
@@ -18,88 +18,88 @@
 
 // completion is a completion on its way: what the caller asked and what arrived so far.
 type completion struct {
-	r      *Router
-	visit  *visit
-	comp   dispatch.Completion
-	asked  dispatch.CompletionParams
-	req    route.Request
-	answer dispatch.Answer
+	r         *Router
+	callerReq *callerRequest
+	comp      dispatch.Completion
+	params    dispatch.CompletionParams
+	req       route.Request
+	answer    dispatch.Answer
 	// text is the answer delivered so far and tokens the number of chunks it came in.
 	text   strings.Builder
 	tokens int
 }
 
 // complete carries a checked completion to its end; a refusal is left to the caller to write.
-func (r *Router) complete(v *visit, comp dispatch.Completion, model *policy.Model, adapter string) (dispatch.Answer, *route.Refusal) {
-	asked := comp.Ask()
+func (r *Router) complete(v *callerRequest, comp dispatch.Completion, model *policy.Model, adapter string) (dispatch.Answer, *route.Refusal) {
+	params := comp.Ask()
 	c := dispatch.NewCall()
-	req := v.request(c.ID, model.Pool, v.snap.Timeout())
+	req := v.newRequest(c.ID, model.Pool, v.snap.Timeout())
 	if p, ok := v.snap.PolicyFor(v.labels); ok && p.Pool != "" {
 		req.Pool = p.Pool
 	}
 	req.Repeatable = true
 	req.Model = model
 	req.Adapter = adapter
-	req.Text = asked.Text
-	req.Bounds = asked.Bounds
-	req.MaxTokens = asked.MaxTokens
-	req.Resumable = asked.SingleText
-	done := &completion{r: r, visit: v, comp: comp, asked: asked, req: req, answer: comp.Answer(v.w, c.ID)}
-	send := done.stream
-	if !asked.Stream && !asked.SingleText {
-		send = done.whole
+	req.Text = params.Text
+	req.Bounds = params.Bounds
+	req.MaxTokens = params.MaxTokens
+	req.Resumable = params.SingleText
+	run := &completion{r: r, callerReq: v, comp: comp, params: params, req: req, answer: comp.Answer(v.w, c.ID)}
+	send := run.stream
+	if !params.Stream && !params.SingleText {
+		send = run.bufferAnswer
 	}
 	refusal := r.Serve(v.r.Context(), req, c, send)
-	r.counters.finished(v, refusal)
-	return done.answer, refusal
+	r.counters.countRequest(v, refusal)
+	return run.answer, refusal
 }
 
-// open sends an attempt and checks who answers. It returns a reply to read,
+// startAttempt sends an attempt and checks who answers. It returns a reply to read,
 // or the outcome that ended the attempt.
-func (c *completion) open(ctx context.Context, a route.Attempt, stream bool) (*dispatch.Reply, *route.Outcome) {
+func (c *completion) startAttempt(ctx context.Context, a route.Attempt, stream bool) (*dispatch.Reply, *route.Outcome) {
 	out := &route.Outcome{Request: a.Request, Attempt: a.ID, Kind: route.OutcomeBroken}
-	sending := dispatch.SendOptions{Priority: c.req.Priority, Stream: stream}
+	opts := dispatch.SendOptions{Priority: c.req.Priority, Stream: stream}
 	if a.Resume {
-		sending.Resume, sending.Text, sending.Tokens = true, c.text.String(), c.tokens
+		opts.Resume, opts.Text, opts.Tokens = true, c.text.String(), c.tokens
 	}
 	if a.Import.Tokens > 0 {
 		c.r.importKept(ctx, a)
 	}
 	sent := time.Now()
-	reply, err := c.comp.Send(ctx, a, sending)
+	reply, err := c.comp.Send(ctx, a, opts)
 	if err != nil {
-		*out = unanswered(*out, err)
+		*out = sendFailure(*out, err)
 		return nil, out
 	}
 	out.Incarnation = reply.Incarnation
-	c.r.takeSaid(a, sent, reply)
+	c.r.recordTargetHints(a, sent, reply)
 	if reply.Status == http.StatusOK && identityMatches(a, reply) {
 		return reply, nil
 	}
 	defer reply.Body.Close()
-	out.Kind, out.Detail = classify(reply)
+	out.Kind, out.Detail = classifyFailure(reply)
 	return nil, out
 }
 
 // recordTargetHints takes what the head of an answer says of the target that gave it, which is the one that was asked
 // unless it names another.
-func (r *Router) takeSaid(a route.Attempt, sent time.Time, reply *dispatch.Reply) {
-	by := route.TargetKey{Target: a.Target, Incarnation: cmp.Or(reply.Incarnation, a.Incarnation)}
+func (r *Router) recordTargetHints(a route.Attempt, sent time.Time, reply *dispatch.Reply) {
+	key := route.TargetKey{Target: a.Target, Incarnation: cmp.Or(reply.Incarnation, a.Incarnation)}
 	r.Lock()
 	defer r.Unlock()
-	r.Board().ApplyHints(time.Now(), by, sent, reply.Reported)
+	r.Board().ApplyHints(time.Now(), key, sent, reply.Reported)
 }
 
 // identityMatches checks what a target echoes before any of its answer is used.
 // A target that echoes nothing is trusted to be what it was polled as.
 func identityMatches(a route.Attempt, r *dispatch.Reply) bool {
-	return echoes(string(r.Incarnation), string(a.Incarnation)) && echoes(r.Weights, a.Weights) && echoes(r.Attempt, a.ID)
+	return echoMatches(string(r.Incarnation), string(a.Incarnation)) && echoMatches(r.Weights, a.Weights) && echoMatches(r.Attempt, a.ID)
 }
 
-func echoes(got, want string) bool { return got == "" || want == "" || got == want }
+func echoMatches(got, want string) bool { return got == "" || want == "" || got == want }
 
-// classify reads what a reply that is not an answer means.
-func classify(r *dispatch.Reply) (route.OutcomeKind, string) {
+// classifyFailure reads what a reply that is not an answer means.
+func classifyFailure(r *dispatch.Reply) (route.OutcomeKind, string) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxExcerpt))
 	text := strconv.Itoa(r.Status) + " " + http.StatusText(r.Status) + ": " + string(data)
 	if err != nil {
@@ -119,7 +119,7 @@
 
 // stream sends an attempt as a stream and passes its chunks on in order.
 func (c *completion) stream(ctx context.Context, a route.Attempt) route.Outcome {
-	reply, out := c.open(ctx, a, true)
+	reply, out := c.startAttempt(ctx, a, true)
 	if out != nil {
 		return *out
 	}
@@ -129,10 +129,10 @@
 		Incarnation: reply.Incarnation,
 	}
 	check := route.NewStream(a.ID)
-	err := c.copyChunks(reply.Chunks, check, a)
+	err := c.forwardChunks(reply.Chunks, check, a)
 	if n := check.Dropped(); n > 0 {
 		c.r.events.Record(event.Event{Code: event.ReplyDropped, Request: a.Request, Attempt: a.ID})
-		c.r.counters.dropped.Add(n)
+		c.r.counters.droppedChunks.Add(n)
 	}
 	out.Delivered = c.tokens > 0
 	if err != nil {
@@ -140,7 +140,7 @@
 		return *out
 	}
 	out.Kind = route.OutcomeDone
-	out.Usage = c.total(check.Usage())
+	out.Usage = c.totalUsage(check.Usage())
 	if err := c.answer.End(out.Usage); err != nil {
 		out.Kind = route.OutcomeBroken
 		out.Detail = err.Error()
@@ -148,18 +148,18 @@
 	return *out
 }
 
-// total joins the usage of a resumed answer with what was delivered before it.
-func (c *completion) total(u *route.Usage) *route.Usage {
+// totalUsage joins the usage of a resumed answer with what was delivered before it.
+func (c *completion) totalUsage(u *route.Usage) *route.Usage {
 	if u == nil {
 		return nil
 	}
-	whole := *u
-	whole.Completion = max(whole.Completion, c.tokens)
-	return &whole
+	sum := *u
+	sum.Completion = max(sum.Completion, c.tokens)
+	return &sum
 }
 
-// copyChunks passes chunks on until the stream's end mark.
-func (c *completion) copyChunks(next func() (route.Chunk, error), check *route.Stream, a route.Attempt) error {
+// forwardChunks passes chunks on until the stream's end mark.
+func (c *completion) forwardChunks(next func() (route.Chunk, error), check *route.Stream, a route.Attempt) error {
 	for !check.Complete() {
 		chunk, err := next()
 		if err != nil {
@@ -167,7 +167,7 @@
 		}
 		ready, err := check.Accept(chunk)
 		for _, out := range ready {
-			if err := c.take(out, a); err != nil {
+			if err := c.deliver(out, a); err != nil {
 				return err
 			}
 		}
@@ -178,25 +178,25 @@
 	return nil
 }
 
-// take passes one chunk on and tells the board of the first.
-func (c *completion) take(chunk route.Chunk, a route.Attempt) error {
+// deliver passes one chunk on and tells the board of the first.
+func (c *completion) deliver(chunk route.Chunk, a route.Attempt) error {
 	if chunk.Text != "" {
 		c.text.WriteString(chunk.Text)
 		c.tokens++
-		c.progress(a)
+		c.reportProgress(a)
 	}
 	return c.answer.Chunk(chunk)
 }
 
-// progressEvery is the number of chunks between reports of progress to the board.
-const progressEvery = 16
+// progressChunks is the number of chunks between reports of progress to the board.
+const progressChunks = 16
 
-func (c *completion) progress(a route.Attempt) {
-	if c.tokens%progressEvery != 1 {
+func (c *completion) reportProgress(a route.Attempt) {
+	if c.tokens%progressChunks != 1 {
 		return
 	}
 	if c.tokens == 1 {
-		c.r.counters.firstToken(time.Since(c.visit.begun))
+		c.r.counters.observeFirstToken(time.Since(c.callerReq.startedAt))
 	}
 	c.r.Do(func(b *route.Board, now time.Time) []route.Action {
 		b.Progress(now, a.Request, a.ID)
@@ -207,9 +207,9 @@
 // maxAnswer bounds an answer that is read whole, in bytes.
 const maxAnswer = 16 << 20
 
-// whole sends an attempt whose answer is passed on as one body.
-func (c *completion) whole(ctx context.Context, a route.Attempt) route.Outcome {
-	reply, out := c.open(ctx, a, false)
+// bufferAnswer sends an attempt whose answer is passed on as one body.
+func (c *completion) bufferAnswer(ctx context.Context, a route.Attempt) route.Outcome {
+	reply, out := c.startAttempt(ctx, a, false)
 	if out != nil {
 		return *out
 	}
--- a/router/kept.go
+++ b/router/kept.go
@@ -13,8 +13,8 @@
 // keptTimeout bounds an export, and an import that a request waits for.
 const keptTimeout = 2 * time.Second
 
-// export copies a hot prefix from an engine to the kept KV store.
-func (r *Router) export(e route.Export) {
+// exportPrefix copies a hot prefix from an engine to the kept KV store.
+func (r *Router) exportPrefix(e route.Export) {
 	ctx, cancel := context.WithTimeout(context.Background(), keptTimeout)
 	defer cancel()
 	stored := r.exportBlocks(ctx, e)
@@ -35,7 +35,7 @@
 	if err != nil || len(held) < len(blocks) {
 		return false
 	}
-	if err := r.engines.Keep(ctx, store, keptName(e.Key), held); err != nil {
+	if err := r.engines.StoreBlocks(ctx, store, keptName(e.Key), held); err != nil {
 		return false
 	}
 	r.events.Record(event.Event{
@@ -69,7 +69,7 @@
 	if !ok {
 		return context.Canceled
 	}
-	blocks, err := r.engines.Kept(ctx, store, keptName(a.Import.Key))
+	blocks, err := r.engines.LoadBlocks(ctx, store, keptName(a.Import.Key))
 	if err != nil {
 		return err
 	}
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -11,35 +11,35 @@
 
 // counters are the metrics that change with calls; docs/OPERATIONS.md lists them.
 type counters struct {
-	set         *metrics.Set
-	badRequests *metrics.Counter
-	dropped     *metrics.Counter
-	tableReads  *metrics.Counter
-	exports     *metrics.Counter
-	imports     *metrics.Counter
-	ttft        *metrics.Histogram
+	set           *metrics.Set
+	badRequests   *metrics.Counter
+	droppedChunks *metrics.Counter
+	tableReads    *metrics.Counter
+	exports       *metrics.Counter
+	imports       *metrics.Counter
+	ttft          *metrics.Histogram
 }
 
 func newCounters(set *metrics.Set) counters {
 	return counters{
-		set:         set,
-		badRequests: set.NewCounter("pathhead_bad_requests_total"),
-		dropped:     set.NewCounter("pathhead_dropped_chunks_total"),
-		tableReads:  set.NewCounter("pathhead_table_reads_total"),
-		exports:     set.NewCounter("pathhead_kept_exports_total"),
-		imports:     set.NewCounter("pathhead_kept_imports_total"),
-		ttft:        set.NewHistogram("pathhead_first_token_seconds"),
+		set:           set,
+		badRequests:   set.NewCounter("pathhead_bad_requests_total"),
+		droppedChunks: set.NewCounter("pathhead_dropped_chunks_total"),
+		tableReads:    set.NewCounter("pathhead_table_reads_total"),
+		exports:       set.NewCounter("pathhead_kept_exports_total"),
+		imports:       set.NewCounter("pathhead_kept_imports_total"),
+		ttft:          set.NewHistogram("pathhead_first_token_seconds"),
 	}
 }
 
-func (c counters) firstToken(d time.Duration) { c.ttft.Update(d.Seconds()) }
+func (c counters) observeFirstToken(d time.Duration) { c.ttft.Update(d.Seconds()) }
 
-func (c counters) attempt(k route.OutcomeKind) {
+func (c counters) countAttempt(k route.OutcomeKind) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("pathhead_attempts_total{outcome=%q}", k)).Inc()
 }
 
-// finished counts a request by its end; organisations are bounded by the configuration.
-func (c counters) finished(v *visit, refusal *route.Refusal) {
+// countRequest counts a request by its end; organisations are bounded by the configuration.
+func (c counters) countRequest(v *callerRequest, refusal *route.Refusal) {
 	end, verdict := "answered", route.Ran
 	if refusal != nil {
 		end, verdict = refusal.Cause.String(), refusal.Verdict
@@ -49,8 +49,8 @@
 	)).Inc()
 }
 
-// gauges registers the metrics that are read when they are asked for.
-func (r *Router) gauges() {
+// registerGauges registers the metrics that are read when they are asked for.
+func (r *Router) registerGauges() {
 	locked := func(f func() int) func() float64 {
 		return func() float64 {
 			r.Lock()
--- a/router/peers.go
+++ b/router/peers.go
@@ -18,7 +18,7 @@
 		case <-time.After(r.jitter(r.gossip.Period(r.set.GossipEvery))):
 		}
 		r.gossip.Round(ctx)
-		r.tellBoard()
+		r.updateBoard()
 	}
 }
 
@@ -35,14 +35,14 @@
 	}
 }
 
-// heard takes a peer's word on configuration.
-func (r *Router) heard(begun time.Time, w fleet.ConfigStatus) {
+// receiveConfigReport takes a peer's word on configuration.
+func (r *Router) receiveConfigReport(startedAt time.Time, status fleet.ConfigStatus) {
 	r.Lock()
-	r.adoption.ObservePeer(begun, w)
+	r.adoption.ObservePeer(startedAt, status)
 	behind := r.adoption.Behind()
 	r.Unlock()
 	if behind {
-		r.poke()
+		r.wakeConfig()
 	}
 }
 
@@ -50,7 +50,7 @@
 func (r *Router) Exchange(in peer.Exchange) peer.Exchange { return r.gossip.Exchange(in) }
 
 // updateBoard gives the board the states of the live peers.
-func (r *Router) tellBoard() {
+func (r *Router) updateBoard() {
 	states := make(map[string]route.PeerState)
 	held := make(map[route.TargetKey]bool)
 	for _, e := range r.gossip.Live() {
--- a/router/poll.go
+++ b/router/poll.go
@@ -11,11 +11,11 @@
 
 // The labels by which a VM on the list is a target.
 const (
-	labelKind   = "kind"
-	kindRouter  = "router"
-	kindFleet   = "fleet"
-	firstList   = 100 * time.Millisecond
-	eventsEvery = 250 * time.Millisecond
+	labelKind           = "kind"
+	kindRouter          = "router"
+	kindFleet           = "fleet"
+	listRetryInterval   = 100 * time.Millisecond
+	cacheEventsInterval = 250 * time.Millisecond
 )
 
 // listLoop reads the VM list and runs a poller for each target on it.
@@ -30,26 +30,26 @@
 		list, err := r.list.Read(ctx)
 		if err != nil {
 			r.log.Debug("the list of VMs was not read", "error", err)
-			wait = firstList
+			wait = listRetryInterval
 			continue
 		}
-		r.takeList(ctx, list)
+		r.applyListing(ctx, list)
 		wait = r.jitter(r.set.PollEvery)
 	}
 }
 
-// takeList gives the board the targets on the list and starts and stops pollers.
-func (r *Router) takeList(ctx context.Context, list []route.ListedTarget) {
-	seen := make([]route.ListedTarget, 0, len(list))
+// applyListing gives the board the targets on the list and starts and stops pollers.
+func (r *Router) applyListing(ctx context.Context, list []route.ListedTarget) {
+	targets := make([]route.ListedTarget, 0, len(list))
 	listed := make(map[netip.AddrPort]bool, len(list))
 	for _, s := range list {
 		if k := s.Labels[labelKind]; k == kindRouter || k == kindFleet {
 			continue
 		}
-		seen = append(seen, s)
+		targets = append(targets, s)
 		listed[s.Addr] = true
 	}
-	r.Do(func(b *route.Board, now time.Time) []route.Action { return b.SetTargets(now, seen) })
+	r.Do(func(b *route.Board, now time.Time) []route.Action { return b.SetTargets(now, targets) })
 	r.Lock()
 	defer r.Unlock()
 	for addr := range listed {
@@ -70,7 +70,7 @@
 // pollLoop polls one target's state until it leaves the list.
 func (r *Router) pollLoop(ctx context.Context, addr netip.AddrPort) {
 	if r.set.CacheEvents {
-		go r.eventLoop(ctx, addr)
+		go r.cacheEventLoop(ctx, addr)
 	}
 	for {
 		r.poll(ctx, addr)
@@ -102,15 +102,15 @@
 	})
 }
 
-// eventLoop reads one engine's cache events.
-func (r *Router) eventLoop(ctx context.Context, addr netip.AddrPort) {
+// cacheEventLoop reads one engine's cache events.
+func (r *Router) cacheEventLoop(ctx context.Context, addr netip.AddrPort) {
 	after := int64(0)
 	var incarnation route.Incarnation
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.jitter(eventsEvery)):
+		case <-time.After(r.jitter(cacheEventsInterval)):
 		}
 		from, changes, err := r.engines.CacheEvents(ctx, addr, after)
 		if err != nil {
--- a/router/ports.go
+++ b/router/ports.go
@@ -33,6 +33,6 @@
 	Export(ctx context.Context, addr netip.AddrPort, blocks []route.Block) ([]route.Block, error)
 	Import(ctx context.Context, addr netip.AddrPort, blocks []route.Block) error
 	// Keep stores blocks under a key in a kept KV store, Kept reads them back.
-	Keep(ctx context.Context, addr netip.AddrPort, key string, blocks []route.Block) error
-	Kept(ctx context.Context, addr netip.AddrPort, key string) ([]route.Block, error)
+	StoreBlocks(ctx context.Context, addr netip.AddrPort, key string, blocks []route.Block) error
+	LoadBlocks(ctx context.Context, addr netip.AddrPort, key string) ([]route.Block, error)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -74,40 +74,40 @@
 
 // Check returns every fault of the settings in one error.
 func (s Settings) Check() error {
-	var faults []error
-	bad := func(format string, args ...any) { faults = append(faults, errs.Errorf(format, args...)) }
+	var problems []error
+	addf := func(format string, args ...any) { problems = append(problems, errs.Errorf(format, args...)) }
 	if s.Name == "" {
-		bad("name is missing")
+		addf("name is missing")
 	}
 	for what, addr := range map[string]netip.AddrPort{"callers": s.Callers, "operators": s.Operators, "peers": s.Peers} {
 		if !addr.IsValid() {
-			bad("the %s' door has no address", what)
+			addf("the %s' door has no address", what)
 		}
 	}
 	if _, ok := route.Placers()[s.Placement]; !ok {
-		bad("placement %q is not known", s.Placement)
+		addf("placement %q is not known", s.Placement)
 	}
 	for _, r := range s.ranges() {
-		if r.value < r.least || r.value > r.most {
-			bad("%s is %s, must be from %s to %s", r.name, r.value, r.least, r.most)
+		if r.value < r.min || r.value > r.max {
+			addf("%s is %s, must be from %s to %s", r.name, r.value, r.min, r.max)
 		}
 	}
 	if err := s.Crashes.Check(); err != nil {
-		bad("%w", err)
+		addf("%w", err)
 	}
 	if s.Validity <= s.ConfigEvery {
-		bad("validity must be longer than config-every")
+		addf("validity must be longer than config-every")
 	}
 	if s.PeerTimeout <= s.GossipEvery {
-		bad("peer-timeout must be longer than gossip-every")
+		addf("peer-timeout must be longer than gossip-every")
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
 // durationRange is a setting with its bounds.
 type durationRange struct {
-	name               string
-	value, least, most time.Duration
+	name            string
+	value, min, max time.Duration
 }
 
 func (s Settings) ranges() []durationRange {
@@ -124,21 +124,21 @@
 
 // Router is a router process.
 type Router struct {
-	set      Settings
-	id       string
-	log      *slog.Logger
-	events   *event.Recorder
-	metrics  *metrics.Set
-	counters counters
-	configs  fleet.Configs
-	claims   fleet.Claims
-	list     List
-	engines  Engines
-	protocol dispatch.Protocol
-	peers    *peer.Client
-	wake     chan struct{}
-	draining atomic.Bool
-	joined   joins
+	set        Settings
+	id         string
+	log        *slog.Logger
+	events     *event.Recorder
+	metrics    *metrics.Set
+	counters   counters
+	configs    fleet.Configs
+	claims     fleet.Claims
+	list       List
+	engines    Engines
+	protocol   dispatch.Protocol
+	peers      *peer.Client
+	configWake chan struct{}
+	draining   atomic.Bool
+	keyedCalls keyedCalls
 	// loops are the goroutines that end before Run returns.
 	loops  sync.WaitGroup
 	gossip *peer.Gossip
@@ -170,17 +170,17 @@
 		return nil, err
 	}
 	r := &Router{
-		set:      s,
-		log:      slog.New(slog.DiscardHandler),
-		metrics:  metrics.NewSet(),
-		list:     p.List,
-		engines:  p.Engines,
-		protocol: p.Protocol,
-		configs:  fleet.Configs{Table: p.Table, Objects: p.Objects},
-		claims:   fleet.Claims{Table: p.Table},
-		peers:    peer.NewClient(peerCallTime, s.PeerClient),
-		wake:     make(chan struct{}, 1),
-		pollers:  make(map[netip.AddrPort]context.CancelFunc),
+		set:        s,
+		log:        slog.New(slog.DiscardHandler),
+		metrics:    metrics.NewSet(),
+		list:       p.List,
+		engines:    p.Engines,
+		protocol:   p.Protocol,
+		configs:    fleet.Configs{Table: p.Table, Objects: p.Objects},
+		claims:     fleet.Claims{Table: p.Table},
+		peers:      peer.NewClient(peerCallTime, s.PeerClient),
+		configWake: make(chan struct{}, 1),
+		pollers:    make(map[netip.AddrPort]context.CancelFunc),
 	}
 	for _, opt := range opts {
 		opt(r)
@@ -201,17 +201,17 @@
 		route.WithCrashes(s.Crashes, func() {}),
 	)
 	r.Driver = dispatch.New(board,
-		dispatch.WithExport(func(e route.Export) { r.loops.Go(func() { r.export(e) }) }),
+		dispatch.WithExport(func(e route.Export) { r.loops.Go(func() { r.exportPrefix(e) }) }),
 		dispatch.WithArrivalHook(func() { r.applyServing() }),
-		dispatch.WithAttemptEndHook(func(k route.OutcomeKind) { r.counters.attempt(k) }),
+		dispatch.WithAttemptEndHook(func(k route.OutcomeKind) { r.counters.countAttempt(k) }),
 	)
 	r.adoption = fleet.NewAdoption(s.Validity, r.seedRouters == 0)
 	r.gossip = peer.NewGossip(peer.GossipConfig{
 		ID: r.id, Addr: s.Peers, Seeds: s.Seeds, Timeout: s.PeerTimeout, Seed: seed,
-		Payload: r.payload, OnConfigStatus: r.heard, Crashes: peer.NewCrashGossip(r.CrashesSince, r.TakeCrashes),
+		Payload: r.payload, OnConfigStatus: r.receiveConfigReport, Crashes: peer.NewCrashGossip(r.CrashesSince, r.TakeCrashes),
 	}, r.peers, r.events)
 	r.counters = newCounters(r.metrics)
-	r.gauges()
+	r.registerGauges()
 	return r, nil
 }
 
@@ -254,8 +254,8 @@
 // headerTimeout bounds the time a stranger may take to send a request's header.
 const headerTimeout = 5 * time.Second
 
-// maxHeader bounds a request's header in bytes.
-const maxHeader = 32 << 10
+// maxHeaderBytes bounds a request's header in bytes.
+const maxHeaderBytes = 32 << 10
 
 func (r *Router) listen() ([]door.Listener, error) {
 	return door.OpenAll(
@@ -268,23 +268,23 @@
 }
 
 func (r *Router) httpDoor(addr netip.AddrPort, h http.Handler, cfg *tls.Config) (door.Listener, error) {
-	return door.HTTP(addr, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader}, cfg, r.log)
+	return door.HTTP(addr, &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}, cfg, r.log)
 }
 
 // tickInterval is the board's resolution of time for expired waits and held-back retries.
-const tickEvery = 10 * time.Millisecond
+const tickInterval = 10 * time.Millisecond
 
-func (r *Router) tickLoop(ctx context.Context) { r.Tick(ctx, tickEvery) }
+func (r *Router) tickLoop(ctx context.Context) { r.Tick(ctx, tickInterval) }
 
 // sweepInterval is the time between two looks for idle connections to targets.
-const sweepEvery = 2 * time.Second
+const sweepInterval = 2 * time.Second
 
 func (r *Router) sweepLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(sweepEvery):
+		case <-time.After(sweepInterval):
 			r.protocol.Sweep()
 		}
 	}
@@ -302,7 +302,7 @@
 	r.Unlock()
 	end := time.Now().Add(r.set.DrainTime)
 	for time.Now().Before(end) && r.Calls() > 0 {
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 }
 
--- a/wire/engine.go
+++ b/wire/engine.go
@@ -257,13 +257,13 @@
 	return e.call(ctx, http.MethodPost, addr, "/engine/kv/import", kvBlocks{blocks}, nil)
 }
 
-// Keep stores exported blocks under a key in a KV store.
-func (e *Engines) Keep(ctx context.Context, addr netip.AddrPort, key string, blocks []route.Block) error {
+// StoreBlocks stores exported blocks under a key in a KV store.
+func (e *Engines) StoreBlocks(ctx context.Context, addr netip.AddrPort, key string, blocks []route.Block) error {
 	return e.call(ctx, http.MethodPut, addr, "/kv/"+key, kvBlocks{blocks}, nil)
 }
 
-// Kept reads exported blocks from a KV store; it fails if the store has none under the key.
-func (e *Engines) Kept(ctx context.Context, addr netip.AddrPort, key string) ([]route.Block, error) {
+// LoadBlocks reads exported blocks from a KV store; it fails if the store has none under the key.
+func (e *Engines) LoadBlocks(ctx context.Context, addr netip.AddrPort, key string) ([]route.Block, error) {
 	var out kvBlocks
 	err := e.call(ctx, http.MethodGet, addr, "/kv/"+key, nil, &out)
 	return out.Blocks, err
