--- a/route/arrive.go
+++ b/route/arrive.go
@@ -59,7 +59,7 @@
 		return &Refusal{Cause: CauseFenced, RetryAfter: b.minRetryAfter, Detail: "no configuration is known yet"}
 	}
 	if r.Revision != b.snap.Revision {
-		return &Refusal{Cause: CauseChanged, RetryAfter: b.minRetryAfter, Detail: "the configuration changed while the request was validated"}
+		return &Refusal{Cause: CauseChanged, RetryAfter: b.minRetryAfter, Detail: "the configuration changed while the request was checked"}
 	}
 	p, ok := b.pools[r.Pool]
 	if !ok {
--- a/route/attempt.go
+++ b/route/attempt.go
@@ -208,7 +208,7 @@
 	case !r.Repeatable && r.verdict != NotRun:
 		return b.refuse(now, r, CauseBroken, "the call may not be repeated; "+o.Detail)
 	case r.delivered && !r.Resumable:
-		return b.refuse(now, r, CauseBroken, "part of the answer was delivered and the answer cannot be resumed; "+o.Detail)
+		return b.refuse(now, r, CauseBroken, "part of the answer was delivered and it cannot be resumed; "+o.Detail)
 	case b.crashes.holds(now, r.Print):
 		return b.refuse(now, r, CauseCrashes, b.heldRefusal(now, r).Detail)
 	case !now.Before(r.Deadline):
--- a/router/callers.go
+++ b/router/callers.go
@@ -87,7 +87,7 @@
 	r.Unlock()
 	if v.snap == nil || !serving && !r.draining.Load() {
 		r.protocol.Refuse(v.w, route.Refusal{
-			Cause: route.CauseFenced, RetryAfter: time.Second, Detail: "the configuration has not been confirmed recently",
+			Cause: route.CauseFenced, RetryAfter: time.Second, Detail: "the configuration could not be confirmed lately",
 		})
 		return false
 	}
@@ -156,7 +156,7 @@
 func readBody(v *callerRequest) ([]byte, error) {
 	limit := int64(v.snap.Config.Requests.MaxBody)
 	if v.r.ContentLength > limit {
-		return nil, errBodyTooLarge.Errorf("%d bytes, the limit is %d", v.r.ContentLength, limit)
+		return nil, errBodyTooLarge.Errorf("%d bytes, at most %d are taken", v.r.ContentLength, limit)
 	}
 	rc := http.NewResponseController(v.w)
 	if err := rc.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
@@ -168,10 +168,10 @@
 	}
 	_, err := io.Copy(&b, io.LimitReader(v.r.Body, limit+1))
 	if err != nil {
-		return nil, errs.Errorf("read the body: %w", err)
+		return nil, errs.Errorf("the body did not arrive: %w", err)
 	}
 	if int64(b.Len()) > limit {
-		return nil, errBodyTooLarge.Errorf("the limit is %d bytes", limit)
+		return nil, errBodyTooLarge.Errorf("at most %d bytes are taken", limit)
 	}
 	return b.Bytes(), rc.SetReadDeadline(time.Time{})
 }
@@ -255,7 +255,7 @@
 		return false
 	}
 	if n := route.Tokens(len(params.Text)); n > model.MaxPromptTokens {
-		err := fmt.Errorf("the prompt has about %d tokens, model %s accepts at most %d", n, model.Name, model.MaxPromptTokens)
+		err := fmt.Errorf("the prompt has about %d tokens, %s takes %d", n, model.Name, model.MaxPromptTokens)
 		r.rejectInvalid(v, http.StatusBadRequest, "context_length_exceeded", err)
 		return false
 	}
--- a/router/config.go
+++ b/router/config.go
@@ -223,7 +223,7 @@
 	}
 	r.Board().Close(&route.Refusal{
 		Cause: route.CauseFenced, RetryAfter: time.Second,
-		Detail: "the configuration has not been confirmed recently",
+		Detail: "the configuration could not be confirmed lately",
 	})
 	r.events.Record(event.Event{Code: event.ProcessFenced, Revision: r.adoption.Revision()})
 	return false
--- a/router/service.go
+++ b/router/service.go
@@ -136,7 +136,7 @@
 func (r *Router) callAtMostOnce(s *serviceCall, rt *policy.Route) {
 	key := fleet.CallKey{Org: s.callerReq.org.Name, Route: rt.Name, Key: s.callerReq.caller.CallKey}
 	if !keyPattern.MatchString(key.Key) {
-		err := errors.New("this call must run at most once and requires an Idempotency-Key of 1 to 128 letters, digits or . _ : -")
+		err := errors.New("this call may run only once and needs an Idempotency-Key of 1 to 128 letters, digits and . _ : -")
 		r.rejectInvalid(s.callerReq, http.StatusBadRequest, "idempotency_key_missing", err)
 		return
 	}
@@ -168,7 +168,7 @@
 // a refusal. A refusal is returned if this router does not serve or the table fails.
 func (r *Router) takeClaim(s *serviceCall, key fleet.CallKey, owner string) (*fleet.Ticket, *route.Refusal) {
 	if !r.isServing() {
-		return nil, &route.Refusal{Cause: route.CauseFenced, RetryAfter: time.Second, Detail: "this router is not serving"}
+		return nil, &route.Refusal{Cause: route.CauseFenced, RetryAfter: time.Second, Detail: "this router does not serve now"}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.callerReq.r.Context()), claimTimeout)
 	defer cancel()
@@ -188,7 +188,7 @@
 		return nil, nil
 	}
 	go r.abandonClaim(key, owner, s.bodyHash())
-	return nil, &route.Refusal{Cause: route.CauseStore, RetryAfter: claimTimeout, Detail: "the idempotency key could not be claimed"}
+	return nil, &route.Refusal{Cause: route.CauseStore, RetryAfter: claimTimeout, Detail: "the claim could not be settled"}
 }
 
 // isServing reports whether the board accepts requests, after an update by the
@@ -225,12 +225,12 @@
 	claim, err := r.claims.Wait(ctx, key)
 	switch {
 	case err == nil && claim.BodyHash != s.bodyHash():
-		r.rejectInvalid(s.callerReq, http.StatusUnprocessableEntity, "idempotency_key_reused", errors.New("the idempotency key was used with another body"))
+		r.rejectInvalid(s.callerReq, http.StatusUnprocessableEntity, "idempotency_key_reused", errors.New("the key was used with another body"))
 	case err == nil && claim.State == fleet.ClaimDone:
 		s.replayOutcome(claim.Outcome, claim.Owner, key)
 	case err == nil && claim.State == fleet.ClaimReleased:
 		r.protocol.Refuse(s.callerReq.w, route.Refusal{
-			Cause: route.CauseClaimed, Verdict: route.NotRun, RetryAfter: time.Second, Detail: "the earlier call with this key did not run",
+			Cause: route.CauseClaimed, Verdict: route.NotRun, RetryAfter: time.Second, Detail: "the call that held the key did not run",
 		})
 	default:
 		r.events.Record(event.Event{Code: event.ClaimUnsettled, Request: claim.Owner, Org: key.Org})
--- a/wire/openai.go
+++ b/wire/openai.go
@@ -49,7 +49,7 @@
 func ParseCompletion(data []byte, chat bool) (*Completion, error) {
 	body := gjson.ParseBytes(data)
 	if !gjson.ValidBytes(data) || !body.IsObject() {
-		return nil, errs.Errorf("body is not a JSON object")
+		return nil, errs.Errorf("the body is not a JSON object")
 	}
 	c := &Completion{Chat: chat, CompletionParams: dispatch.CompletionParams{SingleText: true}}
 	var err error
@@ -74,7 +74,7 @@
 	}
 	for _, f := range c.fields {
 		if strings.EqualFold(f.name, name) {
-			return errs.Errorf("duplicate field %q", name)
+			return errs.Errorf("%q stands twice", name)
 		}
 	}
 	c.fields = append(c.fields, field{name, value})
@@ -101,7 +101,7 @@
 		"n":                     isInteger,
 	} {
 		if v := c.get(name); v.Exists() && !valid(v) {
-			return errs.Errorf("%s has the wrong type", name)
+			return errs.Errorf("%s is of a wrong type", name)
 		}
 	}
 	c.Model = c.get("model").Str
@@ -116,7 +116,7 @@
 	}
 	c.MaxTokens = int(cmp.Or(c.get("max_completion_tokens").Int(), c.get("max_tokens").Int(), defaultMaxTokens))
 	if c.MaxTokens < 0 || n < 1 {
-		return errs.Errorf("max_tokens must not be negative and n must be positive")
+		return errs.Errorf("max_tokens and n must not be negative")
 	}
 	c.SingleText = n == 1 && !c.hasAny(structured)
 	return nil
@@ -165,7 +165,7 @@
 		return nil, errs.Errorf("messages is missing or empty")
 	}
 	if !list.IsArray() {
-		return nil, errs.Errorf("messages is not an array")
+		return nil, errs.Errorf("messages is of a wrong type")
 	}
 	var (
 		out []route.Message
