--- a/cmd/pathhead-soak/main.go
+++ b/cmd/pathhead-soak/main.go
@@ -50,7 +50,7 @@
 	size := soak.DefaultSize
 	size.Nodes, size.Engines, size.Callers = f.Nodes, f.Engines, f.Callers
 	for n := range f.Seeds {
-		out = append(out, soak.Draw(f.Seed+uint64(n), f.For, size))
+		out = append(out, soak.GeneratePlan(f.Seed+uint64(n), f.For, size))
 	}
 	return out, nil
 }
@@ -91,13 +91,13 @@
 	for range max(1, parallel) {
 		workers.Go(func() {
 			for plan := range next {
-				res, err := s.Play(ctx, plan)
+				res, err := s.Run(ctx, plan)
 				mu.Lock()
 				if err == nil {
 					res.Write(report)
 				}
-				if len(res.Breaches) > 0 {
-					err = errs.Errorf("seed %d: %d guarantees violated", plan.Seed, len(res.Breaches))
+				if len(res.Violations) > 0 {
+					err = errs.Errorf("seed %d: %d guarantees violated", plan.Seed, len(res.Violations))
 				}
 				faults.Add(err)
 				mu.Unlock()
--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -27,11 +27,11 @@
 	// Six texts, the finish mark and the usage.
 	for at := 1; at <= tokens+2; at++ {
 		for _, e := range s.engines {
-			s.faults(e, standin.Faults{BreakAt: at, BreakCount: 1})
+			s.setFaults(e, standin.Faults{BreakAt: at, BreakCount: 1})
 		}
-		r := s.ask(c, question("formosa-air", "rules", fmt.Sprint(at), tokens))
+		r := s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(at), tokens))
 		for _, e := range s.engines {
-			s.faults(e, standin.Faults{})
+			s.setFaults(e, standin.Faults{})
 		}
 		require.True(t, r.OK(), "break at %d: %+v", at, r)
 	}
@@ -67,11 +67,11 @@
 	}
 	for name, f := range cases {
 		t.Run(name, func(t *testing.T) {
-			s.faults(s.engines[0], f)
-			defer s.faults(s.engines[0], standin.Faults{})
+			s.setFaults(s.engines[0], f)
+			defer s.setFaults(s.engines[0], standin.Faults{})
 			whole := 0
 			for i := range 6 {
-				r := s.ask(c, question("formosa-air", name, fmt.Sprint(i), 6))
+				r := s.send(c, promptRequest("formosa-air", name, fmt.Sprint(i), 6))
 				require.False(t, r.Wrong, "%+v", r)
 				if r.OK() {
 					whole++
@@ -82,20 +82,20 @@
 	}
 }
 
-func TestBrokenEverywhereIsNoEnd(t *testing.T) {
+func TestBrokenStreamIsCut(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 1})
 	for _, e := range s.engines {
-		s.faults(e, standin.Faults{BreakAt: 3})
+		s.setFaults(e, standin.Faults{BreakAt: 3})
 	}
 	body := `{"model":"desk-7b","stream":true,"max_tokens":200,"messages":[{"role":"user","content":"x"}]}`
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.routers[0].callers.String()+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+s.routers[0].callerAddr.String()+"/v1/chat/completions", strings.NewReader(body))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer demo-formosa-air")
-	r := s.do(req)
+	r := s.doRequest(req)
 	require.Zero(t, r.status, "the connection of a broken stream is cut, so that reading it fails: %s", r.body)
 
-	res := s.ask(s.client(s.routers[0]), question("formosa-air", "t", "x", 200))
+	res := s.send(s.client(s.routers[0]), promptRequest("formosa-air", "t", "x", 200))
 	require.True(t, res.Cut)
 	require.False(t, res.OK())
 }
@@ -104,7 +104,7 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 1, config: strings.Replace(exampleConfig(t), "floor: 2", "floor: 1", 1)})
 	c := s.client(s.routers[0])
-	first := s.ask(c, question("formosa-air", "rules", "a", 4))
+	first := s.send(c, promptRequest("formosa-air", "rules", "a", 4))
 	e := s.engineOf(first.Request)
 	for _, other := range s.engines {
 		if other != e {
@@ -120,8 +120,8 @@
 			}, "the router sees the new weights")
 		}
 	}
-	s.faults(e, standin.Faults{BreakAt: 3})
-	r := s.ask(c, question("formosa-air", "rules", "b", 200))
+	s.setFaults(e, standin.Faults{BreakAt: 3})
+	r := s.send(c, promptRequest("formosa-air", "rules", "b", 200))
 	require.False(t, r.OK(), "the answer is not continued under other weights")
 	require.True(t, r.Cut)
 	for _, run := range s.allRuns() {
@@ -131,10 +131,10 @@
 
 // Promise 4: one's own answer.
 
-func TestAnswersAreOnesOwn(t *testing.T) {
+func TestAnswersMatchRequests(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 2})
-	s.faults(s.engines[0], standin.Faults{CrossReplies: true})
+	s.setFaults(s.engines[0], standin.Faults{CrossReplies: true})
 	c := s.client(s.routers...)
 	var wg sync.WaitGroup
 	for i := range 40 {
@@ -145,7 +145,7 @@
 				// A caller that leaves in the middle gives its connections back for reuse.
 				time.AfterFunc(15*time.Millisecond, cancel)
 			}
-			r := c.Do(ctx, question("formosa-air", "rules", fmt.Sprint(i), 12))
+			r := c.Do(ctx, promptRequest("formosa-air", "rules", fmt.Sprint(i), 12))
 			if r.Wrong {
 				t.Errorf("request %s got another's answer: %q", r.Request, r.Text)
 			}
@@ -171,13 +171,13 @@
 			t.Parallel()
 			s := newSystem(t, setup{engines: 1, routers: 1})
 			c := s.client(s.routers...)
-			s.faults(s.engines[0], fault)
-			r := s.ask(c, question("formosa-air", "rules", "posed", 6))
+			s.setFaults(s.engines[0], fault)
+			r := s.send(c, promptRequest("formosa-air", "rules", "posed", 6))
 			require.False(t, r.OK(), "%+v", r)
 			require.Empty(t, r.Text)
-			s.faults(s.engines[0], standin.Faults{})
+			s.setFaults(s.engines[0], standin.Faults{})
 			s.eventually(func() bool {
-				return s.ask(c, question("formosa-air", "rules", "sound", 6)).OK()
+				return s.send(c, promptRequest("formosa-air", "rules", "sound", 6)).OK()
 			}, "the engine serves again")
 		})
 	}
@@ -185,7 +185,7 @@
 
 // Promise 5: not run means not run.
 
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunVerdictIsTrue(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 3, services: 2, routers: 2})
 	c := s.client(s.routers...)
@@ -202,9 +202,9 @@
 			notRun[id] = code
 		}
 	}
-	stop := during(6, func(i, n int) {
+	stop := repeatUntilStopped(6, func(i, n int) {
 		if i%2 == 0 {
-			r := s.ask(c, question("formosa-air", fmt.Sprint(n%3), fmt.Sprint(i, n), 5))
+			r := s.send(c, promptRequest("formosa-air", fmt.Sprint(n%3), fmt.Sprint(i, n), 5))
 			note(r.Request, r.Verdict, r.Code)
 			return
 		}
@@ -214,18 +214,18 @@
 		}
 	})
 	for _, f := range []standin.Faults{{RefuseAll: true}, {BreakAt: 1}, {BreakAt: 2}, {CrossReplies: true}, {FailAfterRun: true}, {Down: true}} {
-		for _, e := range append(s.engines, s.service...) {
-			s.faults(e, f)
+		for _, e := range append(s.engines, s.services...) {
+			s.setFaults(e, f)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
-	for _, e := range append(s.engines, s.service...) {
-		s.faults(e, standin.Faults{})
+	for _, e := range append(s.engines, s.services...) {
+		s.setFaults(e, standin.Faults{})
 	}
 	stop()
 	t.Logf("verdicts: %v", counts)
 	require.Positive(t, counts["not-run"])
-	for _, e := range append(s.engines, s.service...) {
+	for _, e := range append(s.engines, s.services...) {
 		for _, run := range s.runs(e) {
 			require.NotContains(t, notRun, run.Request, "%s ran and was answered not-run", run.Request)
 		}
--- a/internal/e2e/cached_test.go
+++ b/internal/e2e/cached_test.go
@@ -10,8 +10,8 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// rarely keeps routers from polling within a test, so that what they believe is stale.
-var rarely = []string{"--poll-every", "10s"}
+// infrequentPolling keeps routers from polling within a test, so that what they believe is stale.
+var infrequentPolling = []string{"--poll-every", "10s"}
 
 // Promise 1: cached entries.
 
@@ -23,27 +23,27 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := newSystem(t, setup{engines: 2, routers: 1, engineFlags: c.engineFlags, routerFlags: rarely})
+			s := newSystem(t, setup{engines: 2, routers: 1, engineFlags: c.engineFlags, routerFlags: infrequentPolling})
 			client := s.client(s.routers[0])
 			for i := range 4 {
-				require.True(t, s.ask(client, question("formosa-air", "rules", fmt.Sprint(i), 4)).OK())
+				require.True(t, s.send(client, promptRequest("formosa-air", "rules", fmt.Sprint(i), 4)).OK())
 			}
 			for _, e := range s.engines {
 				e.restart()
 				s.await(e.addr, "/engine/state")
 			}
 			for i := range 4 {
-				r := s.ask(client, question("formosa-air", "rules", fmt.Sprint("again", i), 4))
+				r := s.send(client, promptRequest("formosa-air", "rules", fmt.Sprint("again", i), 4))
 				require.True(t, r.OK(), "%+v", r)
 			}
-			s.checkUses()
+			s.checkCacheIsolation()
 		})
 	}
 }
 
-// checkUses is the oracle of promise 1: an answer that was passed on used no
+// checkCacheIsolation is the oracle of promise 1: an answer that was passed on used no
 // block that another organisation or other weights filled.
-func (s *system) checkUses() {
+func (s *system) checkCacheIsolation() {
 	s.t.Helper()
 	filled := make(map[string]standin.Run)
 	runs := s.allRuns()
@@ -66,10 +66,10 @@
 	c := s.client(s.routers[0])
 	for i := range 3 {
 		for _, org := range []string{"formosa-air", "jade-wings"} {
-			require.True(t, s.ask(c, question(org, "rules", fmt.Sprint(i), 4)).OK())
+			require.True(t, s.send(c, promptRequest(org, "rules", fmt.Sprint(i), 4)).OK())
 		}
 	}
-	s.checkUses()
+	s.checkCacheIsolation()
 	cached := 0
 	for _, r := range s.allRuns() {
 		if r.Cached > 0 {
@@ -81,9 +81,9 @@
 
 func TestWeightsChangedUnderRouter(t *testing.T) {
 	t.Parallel()
-	s := newSystem(t, setup{engines: 2, routers: 1, routerFlags: rarely})
+	s := newSystem(t, setup{engines: 2, routers: 1, routerFlags: infrequentPolling})
 	c := s.client(s.routers[0])
-	first := s.ask(c, question("formosa-air", "rules", "a", 4))
+	first := s.send(c, promptRequest("formosa-air", "rules", "a", 4))
 	require.True(t, first.OK())
 	e := s.engineOf(first.Request)
 	s.post(e.addr, "/engine/order", wire.Order{Action: wire.OrderLoad, Model: "desk-7b", Weights: "w2", IfWeights: "w1"})
@@ -92,10 +92,10 @@
 		return s.getJSON(e.addr, "/engine/state", &st) == nil && st.Models["desk-7b"].Weights == "w2"
 	}, "the engine has new weights")
 	for i := range 4 {
-		r := s.ask(c, question("formosa-air", "rules", fmt.Sprint(i), 4))
+		r := s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(i), 4))
 		require.True(t, r.OK(), "an answer is of the weights that the router declared: %+v", r)
 	}
-	s.checkUses()
+	s.checkCacheIsolation()
 }
 
 func (s *system) engineOf(request string) *targetProc {
@@ -115,11 +115,11 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 1, routerFlags: []string{"--cache-events"}})
 	for _, e := range s.engines {
-		s.faults(e, standin.Faults{Forge: true, EventLoss: 0.5})
+		s.setFaults(e, standin.Faults{Forge: true, EventLoss: 0.5})
 	}
 	c := s.client(s.routers[0])
 	for i := range 8 {
-		require.True(t, s.ask(c, question("formosa-air", "rules", fmt.Sprint(i), 4)).OK())
+		require.True(t, s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(i), 4)).OK())
 	}
-	s.checkUses()
+	s.checkCacheIsolation()
 }
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -15,9 +15,9 @@
 // crashText is what engines end on.
 const crashText = "a text that ends engines"
 
-// deadly is a request that ends each engine which begins to run it.
-func deadly() load.Arrival {
-	a := question("formosa-air", "rules", "a", 4)
+// crashingRequest is a request that ends each engine which begins to run it.
+func crashingRequest() load.Arrival {
+	a := promptRequest("formosa-air", "rules", "a", 4)
 	a.Messages = append(a.Messages, load.Message{Role: "user", Content: crashText})
 	return a
 }
@@ -37,7 +37,7 @@
 				select {
 				case <-stop:
 					return
-				case <-e.done:
+				case <-e.exited:
 				}
 				ended.Add(1)
 				time.Sleep(300 * time.Millisecond)
@@ -53,7 +53,7 @@
 	}()
 	clients := []*load.Client{s.client(s.routers[0]), s.client(s.routers[1])}
 	held := func(n int) bool {
-		r := s.ask(clients[n%2], deadly())
+		r := s.send(clients[n%2], crashingRequest())
 		require.False(t, r.OK())
 		return r.Status == http.StatusServiceUnavailable && r.Code == "crashes_targets" && r.Verdict == route.NotRun.String()
 	}
@@ -77,5 +77,5 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	require.Equal(t, known, ended.Load(), "no engine ends once it is held back")
-	s.eventually(func() bool { return s.ask(clients[0], question("formosa-air", "rules", "b", 4)).OK() }, "others are answered")
+	s.eventually(func() bool { return s.send(clients[0], promptRequest("formosa-air", "rules", "b", 4)).OK() }, "others are answered")
 }
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -32,7 +32,7 @@
 // rollout applies the configuration with other weights without waiting for the engines.
 func (s *system) rollout(weights string) {
 	s.t.Helper()
-	s.apply(strings.Replace(s.set.config, "weights: w1", "weights: "+weights, 1))
+	s.applyConfig(strings.Replace(s.setup.config, "weights: w1", "weights: "+weights, 1))
 }
 
 // serving returns how many engines have the weights loaded, and how many any.
@@ -52,7 +52,7 @@
 	return with, any
 }
 
-func (s *system) converges(weights string) {
+func (s *system) awaitWeights(weights string) {
 	s.t.Helper()
 	s.eventually(func() bool {
 		with, _ := s.serving(weights)
@@ -79,12 +79,12 @@
 // fleetStatus is the status of a fleet process.
 func (s *system) fleetStatus(p *routerProc) (controller.Status, bool) {
 	var st controller.Status
-	err := s.getJSON(p.operators, "/v1/status", &st)
+	err := s.getJSON(p.operatorAddr, "/v1/status", &st)
 	return st, err == nil
 }
 
-// holder returns the fleet process that holds the engines' lease.
-func (s *system) holder() *routerProc {
+// leaseHolder returns the fleet process that holds the engines' lease.
+func (s *system) leaseHolder() *routerProc {
 	s.t.Helper()
 	var found *routerProc
 	s.eventually(func() bool {
@@ -104,15 +104,15 @@
 func TestRolloutUnderLoad(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 4, routers: 2, fleets: 2})
-	s.holder()
+	s.leaseHolder()
 	// Answers are right under either weights while both serve.
 	c := s.client(s.routers...)
 	var (
 		mu         sync.Mutex
 		cut, least = 0, len(s.engines)
 	)
-	stopAsking := during(3, func(i, n int) {
-		r := s.ask(c, question("formosa-air", "rules", fmt.Sprint(i, n), 6))
+	stopAsking := repeatUntilStopped(3, func(i, n int) {
+		r := s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(i, n), 6))
 		mu.Lock()
 		if r.Cut || r.Status != 200 {
 			cut++
@@ -120,41 +120,41 @@
 		}
 		mu.Unlock()
 	})
-	stopCounting := during(1, func(int, int) {
+	stopCounting := repeatUntilStopped(1, func(int, int) {
 		time.Sleep(20 * time.Millisecond)
 		_, any := s.serving("w2")
 		least = min(least, any)
 	})
 	s.rollout("w2")
-	s.converges("w2")
+	s.awaitWeights("w2")
 	stopAsking()
 	stopCounting()
 	require.Zero(t, cut, "no answer is cut or refused by a rollout")
 	require.GreaterOrEqual(t, least, 2, "the floor is kept")
 	s.checkOrders()
-	s.checkUses()
+	s.checkCacheIsolation()
 }
 
-func TestHolderKilledAndFrozen(t *testing.T) {
+func TestLeaseHolderKilledAndSuspended(t *testing.T) {
 	cases := map[string]struct {
 		engineFlags []string
 		fault       func(s *system, holder *routerProc)
 	}{
 		"killed, engines check fencing":  {engineFlags: []string{"--checks-fencing"}, fault: func(_ *system, h *routerProc) { h.kill() }},
 		"killed, engines check nothing":  {fault: func(_ *system, h *routerProc) { h.kill() }},
-		"frozen, engines check fencing":  {engineFlags: []string{"--checks-fencing"}, fault: freezeHolder},
-		"frozen, engines check nothing":  {fault: freezeHolder},
-		"table out for longer than that": {fault: tableOut},
+		"frozen, engines check fencing":  {engineFlags: []string{"--checks-fencing"}, fault: suspendHolder},
+		"frozen, engines check nothing":  {fault: suspendHolder},
+		"table out for longer than that": {fault: tableOutage},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSystem(t, setup{engines: 3, routers: 1, fleets: 2, engineFlags: c.engineFlags})
 			s.rollout("w2")
-			holder := s.holder()
+			holder := s.leaseHolder()
 			s.eventually(func() bool { with, _ := s.serving("w2"); return with > 0 }, "the rollout began")
 			c.fault(s, holder)
-			s.converges("w2")
+			s.awaitWeights("w2")
 			s.checkOrders()
 			loading := 0
 			for _, e := range s.engines {
@@ -165,8 +165,8 @@
 	}
 }
 
-// freezeHolder stops the holder past its lease, with a rollout under way, and lets it wake.
-func freezeHolder(s *system, holder *routerProc) {
+// suspendHolder stops the holder past its lease, with a rollout under way, and lets it wake.
+func suspendHolder(s *system, holder *routerProc) {
 	holder.signal(syscall.SIGSTOP)
 	s.eventually(func() bool {
 		for _, f := range s.fleets {
@@ -185,18 +185,18 @@
 	holder.signal(syscall.SIGCONT)
 }
 
-func tableOut(s *system, _ *routerProc) {
-	s.faults(s.table, standin.Faults{Down: true})
+func tableOutage(s *system, _ *routerProc) {
+	s.setFaults(s.table, standin.Faults{Down: true})
 	time.Sleep(4 * time.Second)
-	s.faults(s.table, standin.Faults{})
+	s.setFaults(s.table, standin.Faults{})
 }
 
 func TestRolloutStopsAndRollsBack(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 4, routers: 1, fleets: 1})
-	s.holder()
-	s.faults(s.engines[0], standin.Faults{RefuseAll: true})
-	s.faults(s.engines[1], standin.Faults{RefuseAll: true})
+	s.leaseHolder()
+	s.setFaults(s.engines[0], standin.Faults{RefuseAll: true})
+	s.setFaults(s.engines[1], standin.Faults{RefuseAll: true})
 	s.rollout("w2")
 	s.eventually(func() bool {
 		st, ok := s.fleetStatus(s.fleets[0])
@@ -209,23 +209,23 @@
 		return false
 	}, "the rollout stops by itself and says why")
 	for _, e := range s.engines {
-		s.faults(e, standin.Faults{})
+		s.setFaults(e, standin.Faults{})
 	}
 	s.rollout("w1")
-	s.converges("w1")
+	s.awaitWeights("w1")
 	s.checkOrders()
 }
 
 func TestEngineRestartIsLoadedAgain(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 3, routers: 1, fleets: 1})
-	s.holder()
+	s.leaseHolder()
 	s.rollout("w2")
-	s.converges("w2")
+	s.awaitWeights("w2")
 	// It comes back with the weights of its flags, which are not the declared ones.
 	s.engines[0].restart()
 	s.await(s.engines[0].addr, "/engine/state")
-	s.converges("w2")
+	s.awaitWeights("w2")
 	out, err := s.ctl("status")
 	require.NoError(t, err, out)
 	require.Contains(t, out, "f1")
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -38,12 +38,12 @@
 
 // proc is a running process.
 type proc struct {
-	t    *testing.T
-	name string
-	cmd  *exec.Cmd
-	args []string
-	out  *lockedBuffer
-	done chan struct{}
+	t      *testing.T
+	name   string
+	cmd    *exec.Cmd
+	args   []string
+	log    *lockedBuffer
+	exited chan struct{}
 }
 
 // lockedBuffer keeps a process's log.
@@ -67,13 +67,13 @@
 // start runs a program until the test ends.
 func start(t *testing.T, name, program string, args ...string) *proc {
 	t.Helper()
-	p := &proc{t: t, name: name, args: append([]string{program}, args...), out: &lockedBuffer{}}
+	p := &proc{t: t, name: name, args: append([]string{program}, args...), log: &lockedBuffer{}}
 	p.run()
 	t.Cleanup(func() {
 		p.signal(syscall.SIGCONT)
 		p.kill()
 		if t.Failed() {
-			t.Logf("log of %s:\n%s", name, tail(p.out.String()))
+			t.Logf("log of %s:\n%s", name, tail(p.log.String()))
 		}
 	})
 	return p
@@ -96,20 +96,20 @@
 func (p *proc) run() {
 	p.t.Helper()
 	p.cmd = exec.Command(filepath.Join(binaries, p.args[0]), p.args[1:]...)
-	p.cmd.Stdout, p.cmd.Stderr = p.out, p.out
+	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	require.NoError(p.t, p.cmd.Start())
-	p.done = make(chan struct{})
+	p.exited = make(chan struct{})
 	go func(cmd *exec.Cmd, done chan struct{}) {
 		defer close(done)
 		_ = cmd.Wait()
-	}(p.cmd, p.done)
+	}(p.cmd, p.exited)
 }
 
 func (p *proc) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
 func (p *proc) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.done
+	<-p.exited
 }
 
 // restart kills the process and starts it again with the same arguments.
@@ -148,7 +148,7 @@
 // routerProc is a router or fleet process and its doors.
 type routerProc struct {
 	*proc
-	callers, operators, peers netip.AddrPort
+	callerAddr, operatorAddr, peerAddr netip.AddrPort
 }
 
 // targetProc is a stand-in target.
@@ -173,16 +173,16 @@
 
 // system is a running deployment.
 type system struct {
-	t       *testing.T
-	table   *targetProc
-	objects *targetProc
-	vms     *targetProc
-	engines []*targetProc
-	service []*targetProc
-	routers []*routerProc
-	fleets  []*routerProc
-	labels  map[netip.AddrPort]string
-	set     setup
+	t        *testing.T
+	table    *targetProc
+	objects  *targetProc
+	vms      *targetProc
+	engines  []*targetProc
+	services []*targetProc
+	routers  []*routerProc
+	fleets   []*routerProc
+	labels   map[netip.AddrPort]string
+	setup    setup
 }
 
 func newSystem(t *testing.T, s setup) *system {
@@ -190,7 +190,7 @@
 	if s.config == "" {
 		s.config = exampleConfig(t)
 	}
-	sys := &system{t: t, set: s, labels: make(map[netip.AddrPort]string)}
+	sys := &system{t: t, setup: s, labels: make(map[netip.AddrPort]string)}
 	addrs := freeAddrs(t, 3+s.engines+s.services)
 	sys.table = sys.standin("table", addrs[0], "table")
 	sys.objects = sys.standin("objects", addrs[1], "objects")
@@ -202,16 +202,16 @@
 	}
 	for i := range s.services {
 		e := sys.standin(fmt.Sprintf("checkin-app-%d", i+1), addrs[3+s.engines+i], "service")
-		sys.service = append(sys.service, e)
+		sys.services = append(sys.services, e)
 		sys.labels[e.addr] = "kind=service,service=checkin-app,name=" + e.name
 	}
 	sys.vms = sys.standin("vms", addrs[2], "vms")
 	sys.await(sys.vms.addr, "/vms")
-	sys.list()
+	sys.setVMList()
 	sys.startRouters()
 	sys.startFleets()
-	sys.apply(s.config)
-	sys.ready()
+	sys.applyConfig(s.config)
+	sys.awaitRouters()
 	return sys
 }
 
@@ -232,26 +232,26 @@
 func (s *system) startRouters() {
 	s.startProcesses()
 	for _, r := range s.routers {
-		s.await(r.operators, "/healthz")
+		s.await(r.operatorAddr, "/healthz")
 	}
 }
 
 func (s *system) startProcesses() {
-	addrs := freeAddrs(s.t, 3*s.set.routers)
+	addrs := freeAddrs(s.t, 3*s.setup.routers)
 	var seeds []string
-	for i := range s.set.routers {
+	for i := range s.setup.routers {
 		seeds = append(seeds, addrs[3*i+2].String())
 	}
-	for i := range s.set.routers {
+	for i := range s.setup.routers {
 		a := addrs[3*i : 3*i+3]
 		args := append([]string{
 			"--name", fmt.Sprintf("r%d", i+1),
 			"--callers", a[0].String(), "--operators", a[1].String(), "--peers", a[2].String(),
 			"--seeds", strings.Join(seeds, ","), "--balancer-lag", "300ms", "--poll-every", "100ms",
 		}, s.platform(true)...)
-		args = append(args, s.set.routerFlags...)
+		args = append(args, s.setup.routerFlags...)
 		p := start(s.t, args[1], "pathhead-router", args...)
-		s.routers = append(s.routers, &routerProc{proc: p, callers: a[0], operators: a[1], peers: a[2]})
+		s.routers = append(s.routers, &routerProc{proc: p, callerAddr: a[0], operatorAddr: a[1], peerAddr: a[2]})
 	}
 }
 
@@ -264,23 +264,23 @@
 }
 
 func (s *system) startFleets() {
-	addrs := freeAddrs(s.t, 2*s.set.fleets)
+	addrs := freeAddrs(s.t, 2*s.setup.fleets)
 	var seeds []string
 	for _, r := range s.routers {
-		seeds = append(seeds, r.peers.String())
+		seeds = append(seeds, r.peerAddr.String())
 	}
-	for i := range s.set.fleets {
+	for i := range s.setup.fleets {
 		args := append([]string{
 			"--name", fmt.Sprintf("f%d", i+1), "--operators", addrs[2*i].String(), "--peers", addrs[2*i+1].String(),
 			"--seeds", strings.Join(seeds, ","), "--lease", "3s", "--every", "200ms",
 		}, s.platform(false)...)
 		p := start(s.t, args[1], "pathhead-fleet", args...)
-		s.fleets = append(s.fleets, &routerProc{proc: p, operators: addrs[2*i], peers: addrs[2*i+1]})
+		s.fleets = append(s.fleets, &routerProc{proc: p, operatorAddr: addrs[2*i], peerAddr: addrs[2*i+1]})
 	}
 }
 
-// list tells the VM list of the targets; those in leaving are marked so.
-func (s *system) list(leaving ...netip.AddrPort) {
+// setVMList tells the VM list of the targets; those in leaving are marked so.
+func (s *system) setVMList(leaving ...netip.AddrPort) {
 	s.t.Helper()
 	type group struct {
 		Targets []string          `json:"targets"`
@@ -307,15 +307,15 @@
 func (s *system) ctl(args ...string) (string, error) {
 	var doors []string
 	for _, r := range s.routers {
-		doors = append(doors, r.operators.String())
+		doors = append(doors, r.operatorAddr.String())
 	}
 	args = append(args, "--table", "http://"+s.table.addr.String(), "--objects", "http://"+s.objects.addr.String(), "--doors", strings.Join(doors, ","))
 	out, err := exec.Command(filepath.Join(binaries, "pathheadctl"), args...).CombinedOutput()
 	return string(out), err
 }
 
-// apply offers a configuration and waits until it is in force.
-func (s *system) apply(config string) {
+// applyConfig offers a configuration and waits until it is in force.
+func (s *system) applyConfig(config string) {
 	s.t.Helper()
 	file := filepath.Join(s.t.TempDir(), "config.yaml")
 	require.NoError(s.t, os.WriteFile(file, []byte(config), 0o600))
@@ -323,17 +323,17 @@
 	require.NoError(s.t, err, out)
 }
 
-// ready waits until every router serves and has polled its targets.
-func (s *system) ready() {
+// awaitRouters waits until every router serves and has polled its targets.
+func (s *system) awaitRouters() {
 	s.t.Helper()
 	for _, r := range s.routers {
-		s.routerReady(r)
+		s.awaitRouter(r)
 	}
 }
 
-func (s *system) routerReady(r *routerProc) {
+func (s *system) awaitRouter(r *routerProc) {
 	s.t.Helper()
-	s.await(r.callers, "/readyz")
+	s.await(r.callerAddr, "/readyz")
 	s.eventually(func() bool {
 		st, ok := s.status(r)
 		n := 0
@@ -342,13 +342,13 @@
 				n++
 			}
 		}
-		return ok && n >= len(s.engines)+len(s.service)
+		return ok && n >= len(s.engines)+len(s.services)
 	}, "router %s has seen its targets", r.name)
 }
 
 func (s *system) status(r *routerProc) (router.Status, bool) {
 	var st router.Status
-	err := s.getJSON(r.operators, "/v1/status", &st)
+	err := s.getJSON(r.operatorAddr, "/v1/status", &st)
 	return st, err == nil
 }
 
@@ -358,12 +358,12 @@
 	s.eventually(func() bool { return s.getJSON(addr, path, nil) == nil }, "%s answers at %s", addr, path)
 }
 
-// patience bounds every wait; nothing is judged by how long it took.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait; nothing is judged by how long it took.
+const waitTimeout = 30 * time.Second
 
 func (s *system) eventually(f func() bool, format string, args ...any) {
 	s.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !f() {
 		if time.Now().After(end) {
 			s.t.Fatalf("never: "+format, args...)
@@ -372,10 +372,10 @@
 	}
 }
 
-var quick = &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var httpClient = &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (s *system) getJSON(addr netip.AddrPort, path string, into any) error {
-	resp, err := quick.Get("http://" + addr.String() + path)
+	resp, err := httpClient.Get("http://" + addr.String() + path)
 	if err != nil {
 		return err
 	}
@@ -397,13 +397,13 @@
 	s.t.Helper()
 	data, err := json.Marshal(body)
 	require.NoError(s.t, err)
-	resp, err := quick.Post("http://"+addr.String()+path, "application/json", bytes.NewReader(data))
+	resp, err := httpClient.Post("http://"+addr.String()+path, "application/json", bytes.NewReader(data))
 	require.NoError(s.t, err)
 	defer resp.Body.Close()
 	require.Equal(s.t, http.StatusOK, resp.StatusCode)
 }
 
-func (s *system) faults(p *targetProc, f standin.Faults) {
+func (s *system) setFaults(p *targetProc, f standin.Faults) {
 	s.t.Helper()
 	s.post(p.addr, "/standin/faults", f)
 }
@@ -432,15 +432,15 @@
 func (s *system) client(routers ...*routerProc) *load.Client {
 	var doors []netip.AddrPort
 	for _, r := range routers {
-		doors = append(doors, r.callers)
+		doors = append(doors, r.callerAddr)
 	}
 	c := load.NewClient(doors, "w1", 0)
 	s.t.Cleanup(c.Close)
 	return c
 }
 
-// question is a request with a long prompt whose last part is its own.
-func question(org, topic, own string, tokens int) load.Arrival {
+// promptRequest is a request with a long prompt whose last part is its own.
+func promptRequest(org, topic, own string, tokens int) load.Arrival {
 	return load.Arrival{
 		Org: org, Model: "desk-7b", MaxTokens: tokens,
 		Messages: []load.Message{
@@ -451,14 +451,14 @@
 	}
 }
 
-func (s *system) ask(c *load.Client, a load.Arrival) load.Result {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (s *system) send(c *load.Client, a load.Arrival) load.Result {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return c.Do(ctx, a)
 }
 
-// during calls f with rising n, over and over in each of some goroutines, until stop is called.
-func during(workers int, f func(worker, n int)) (stop func()) {
+// repeatUntilStopped calls f with rising n, over and over in each of some goroutines, until stop is called.
+func repeatUntilStopped(workers int, f func(worker, n int)) (stop func()) {
 	var wg sync.WaitGroup
 	ended := make(chan struct{})
 	for i := range workers {
@@ -491,17 +491,17 @@
 
 // call posts a keyed call to a router; a cut connection has status 0.
 func (s *system) call(r *routerProc, path, key, body string) reply {
-	req, err := http.NewRequest(http.MethodPost, "http://"+r.callers.String()+path, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+r.callerAddr.String()+path, strings.NewReader(body))
 	require.NoError(s.t, err)
 	req.Header.Set("Authorization", "Bearer demo-formosa-air")
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
-	return s.do(req)
+	return s.doRequest(req)
 }
 
-func (s *system) do(req *http.Request) reply {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+func (s *system) doRequest(req *http.Request) reply {
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return reply{}
--- a/internal/e2e/leaving_test.go
+++ b/internal/e2e/leaving_test.go
@@ -14,13 +14,13 @@
 
 // Promise 7: leaving.
 
-func TestLeavingGetsNoNewWork(t *testing.T) {
+func TestDrainingGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	cases := map[string]func(s *system, e *targetProc){
 		"by its own word": func(s *system, e *targetProc) { s.post(e.addr, "/standin/leave", struct{}{}) },
-		"by the list":     func(s *system, e *targetProc) { s.list(e.addr) },
+		"by the list":     func(s *system, e *targetProc) { s.setVMList(e.addr) },
 		"by an operator": func(s *system, e *targetProc) {
-			s.post(s.routers[0].operators, "/v1/leave?target="+e.addr.String(), struct{}{})
+			s.post(s.routers[0].operatorAddr, "/v1/leave?target="+e.addr.String(), struct{}{})
 		},
 	}
 	for name, leave := range cases {
@@ -31,19 +31,19 @@
 			leaving := s.engines[0]
 			begun := time.Now()
 			leave(s, leaving)
-			s.eventually(func() bool { return s.seenLeaving(leaving) }, "every router knows")
+			s.eventually(func() bool { return s.seenDraining(leaving) }, "every router knows")
 			t.Logf("every router knows after %s", time.Since(begun).Round(time.Millisecond))
-			s.list() // The list, lagging, says that it lives.
+			s.setVMList() // The list, lagging, says that it lives.
 			before := len(s.runs(leaving))
 			for i := range 24 {
-				require.True(t, s.ask(c, question("formosa-air", fmt.Sprint(i), fmt.Sprint(i), 2)).OK())
+				require.True(t, s.send(c, promptRequest("formosa-air", fmt.Sprint(i), fmt.Sprint(i), 2)).OK())
 			}
 			require.Len(t, s.runs(leaving), before, "it gets no new work")
 		})
 	}
 }
 
-func (s *system) seenLeaving(e *targetProc) bool {
+func (s *system) seenDraining(e *targetProc) bool {
 	for _, r := range s.routers {
 		st, ok := s.status(r)
 		if !ok {
@@ -67,13 +67,13 @@
 	results := make([]load.Result, 8)
 	for i := range results {
 		wg.Go(func() {
-			results[i] = s.ask(s.client(s.routers[0]), question("formosa-air", "t", fmt.Sprint(i), 700))
+			results[i] = s.send(s.client(s.routers[0]), promptRequest("formosa-air", "t", fmt.Sprint(i), 700))
 		})
 	}
 	s.eventually(func() bool { return len(s.allRuns()) == len(results) }, "all answers began")
 	s.routers[0].signal(syscall.SIGTERM)
-	s.eventually(func() bool { return s.getJSON(s.routers[0].callers, "/readyz", nil) != nil }, "readiness is off")
-	late := s.ask(s.client(s.routers...), question("formosa-air", "t", "late", 2))
+	s.eventually(func() bool { return s.getJSON(s.routers[0].callerAddr, "/readyz", nil) != nil }, "readiness is off")
+	late := s.send(s.client(s.routers...), promptRequest("formosa-air", "t", "late", 2))
 	require.True(t, late.OK() || late.Verdict == "not-run", "while the balancer lags, a request is served or not run: %+v", late)
 	engine := s.engines[0]
 	engine.signal(syscall.SIGTERM)
@@ -81,10 +81,10 @@
 	for _, r := range results {
 		require.True(t, r.OK(), "a planned stop cuts no answer: %+v", r)
 	}
-	for _, done := range []chan struct{}{s.routers[0].done, engine.done} {
+	for _, done := range []chan struct{}{s.routers[0].exited, engine.exited} {
 		select {
 		case <-done:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("a stopped process does not end")
 		}
 	}
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -18,7 +18,7 @@
 func TestSameKeyAtTwoRouters(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{services: 2, routers: 2})
-	s.faults(s.table, standin.Faults{LoseReplies: 30})
+	s.setFaults(s.table, standin.Faults{LoseReplies: 30})
 	var wg sync.WaitGroup
 	for k := range 6 {
 		for i := range 4 {
@@ -34,7 +34,7 @@
 		}
 	}
 	wg.Wait()
-	s.checkOnce()
+	s.checkAtMostOnce()
 	for k := range 6 {
 		r := s.call(s.routers[0], "/checkin/seat", fmt.Sprint("key", k), "seat 4A")
 		require.Equal(t, http.StatusOK, r.status, r.body)
@@ -43,14 +43,14 @@
 		require.Equal(t, http.StatusUnprocessableEntity, r.status)
 		require.Equal(t, "idempotency_key_reused", r.code)
 	}
-	s.checkOnce()
+	s.checkAtMostOnce()
 }
 
-// checkOnce is the oracle of promise 6: no key is twice in the services' run logs.
-func (s *system) checkOnce() {
+// checkAtMostOnce is the oracle of promise 6: no key is twice in the services' run logs.
+func (s *system) checkAtMostOnce() {
 	s.t.Helper()
 	runs := make(map[string]int)
-	for _, e := range s.service {
+	for _, e := range s.services {
 		for _, r := range s.runs(e) {
 			runs[r.Key]++
 			require.LessOrEqual(s.t, runs[r.Key], 1, "key %s ran twice", r.Key)
@@ -64,16 +64,16 @@
 	seat := func(r *routerProc, key string) reply { return s.call(r, "/checkin/seat", key, "seat 4A") }
 
 	t.Run("table out", func(t *testing.T) {
-		s.faults(s.table, standin.Faults{Down: true})
-		defer s.faults(s.table, standin.Faults{})
+		s.setFaults(s.table, standin.Faults{Down: true})
+		defer s.setFaults(s.table, standin.Faults{})
 		r := seat(s.routers[0], "out")
 		require.Equal(t, http.StatusServiceUnavailable, r.status)
 		require.Equal(t, "not-run", r.verdict)
 		require.NotEmpty(t, r.header.Get("Retry-After"))
 	})
 	t.Run("reply cut after it ran", func(t *testing.T) {
-		s.faults(s.service[0], standin.Faults{BreakAt: 1, BreakCount: 1})
-		defer s.faults(s.service[0], standin.Faults{})
+		s.setFaults(s.services[0], standin.Faults{BreakAt: 1, BreakCount: 1})
+		defer s.setFaults(s.services[0], standin.Faults{})
 		r := seat(s.routers[0], "cut")
 		require.Equal(t, "may-have-run", r.verdict)
 		for _, router := range s.routers {
@@ -83,28 +83,28 @@
 		}
 	})
 	t.Run("refused before it ran", func(t *testing.T) {
-		s.faults(s.service[0], standin.Faults{RefuseAll: true})
+		s.setFaults(s.services[0], standin.Faults{RefuseAll: true})
 		r := seat(s.routers[0], "refused")
 		require.Equal(t, "not-run", r.verdict, r.body)
-		s.faults(s.service[0], standin.Faults{})
+		s.setFaults(s.services[0], standin.Faults{})
 		s.eventually(func() bool { return seat(s.routers[1], "refused").status == http.StatusOK }, "the released key can be used again")
 	})
 	t.Run("error of the service is its outcome", func(t *testing.T) {
-		s.faults(s.service[0], standin.Faults{FailAfterRun: true})
+		s.setFaults(s.services[0], standin.Faults{FailAfterRun: true})
 		r := seat(s.routers[0], "failed")
 		require.Equal(t, http.StatusInternalServerError, r.status)
-		s.faults(s.service[0], standin.Faults{})
+		s.setFaults(s.services[0], standin.Faults{})
 		r = seat(s.routers[1], "failed")
 		require.Equal(t, http.StatusInternalServerError, r.status)
 		require.True(t, r.replayed)
 	})
-	s.checkOnce()
+	s.checkAtMostOnce()
 }
 
 func TestOnceWithRouterKilled(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{services: 1, routers: 2})
-	stop := during(4, func(i, n int) {
+	stop := repeatUntilStopped(4, func(i, n int) {
 		// A key is tried through the killed router and then, as the balancer does, through the other.
 		key := fmt.Sprintf("k%d-%d", i, n)
 		s.call(s.routers[0], "/checkin/seat", key, "x")
@@ -121,6 +121,6 @@
 		s.routers[0].signal(syscall.SIGCONT)
 	}
 	stop()
-	require.NotEmpty(t, s.runs(s.service[0]))
-	s.checkOnce()
+	require.NotEmpty(t, s.runs(s.services[0]))
+	s.checkAtMostOnce()
 }
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 3, services: 1, routers: 2})
 	client := openai.NewClient(
-		option.WithBaseURL("http://"+s.routers[0].callers.String()+"/v1/"),
+		option.WithBaseURL("http://"+s.routers[0].callerAddr.String()+"/v1/"),
 		option.WithAPIKey("demo-formosa-air"),
 	)
 	params := openai.ChatCompletionNewParams{
@@ -115,7 +115,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			req, err := http.NewRequest(http.MethodPost, "http://"+s.routers[0].callers.String()+c.path, strings.NewReader(c.body))
+			req, err := http.NewRequest(http.MethodPost, "http://"+s.routers[0].callerAddr.String()+c.path, strings.NewReader(c.body))
 			require.NoError(t, err)
 			switch c.key {
 			case "":
@@ -127,26 +127,26 @@
 			for k, v := range c.header {
 				req.Header.Set(k, v)
 			}
-			got := s.do(req)
+			got := s.doRequest(req)
 			require.Equal(t, c.status, got.status, got.body)
 			require.Equal(t, c.code, got.code)
 			require.Equal(t, "not-run", got.verdict)
 		})
 	}
 	require.Empty(t, s.allRuns(), "no engine ran anything")
-	require.Empty(t, s.runs(s.service[0]), "no service ran anything")
+	require.Empty(t, s.runs(s.services[0]), "no service ran anything")
 }
 
 // TestSlowBody sends a body that never ends, and checks that the router does not wait for ever.
 func TestSlowBody(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 1})
-	c, err := net.Dial("tcp", s.routers[0].callers.String())
+	c, err := net.Dial("tcp", s.routers[0].callerAddr.String())
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo-formosa-air\r\nContent-Length: 100000\r\n\r\n{"))
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 	b := make([]byte, 512)
 	n, err := c.Read(b)
 	require.NoError(t, err)
@@ -159,23 +159,23 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 2})
 	c := s.client(s.routers...)
-	require.True(t, s.ask(c, question("formosa-air", "t", "1", 4)).OK())
+	require.True(t, s.send(c, promptRequest("formosa-air", "t", "1", 4)).OK())
 	s.routers[0].kill()
 	for i := range 6 {
-		r := s.ask(c, question("formosa-air", "t", string(rune('a'+i)), 4))
+		r := s.send(c, promptRequest("formosa-air", "t", string(rune('a'+i)), 4))
 		require.True(t, r.OK(), "%+v", r)
 	}
 }
 
-// TestCallerGone checks that an engine stops soon after its caller left.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects checks that an engine stops soon after its caller left.
+func TestCallerDisconnects(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.client(s.routers[0]).Do(ctx, question("formosa-air", "t", "x", 4000))
+		s.client(s.routers[0]).Do(ctx, promptRequest("formosa-air", "t", "x", 4000))
 	}()
 	s.eventually(func() bool { runs := s.allRuns(); return len(runs) == 1 && runs[0].Emitted > 3 }, "the answer began")
 	cancel()
@@ -188,11 +188,11 @@
 func TestErrorBodyForm(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 1})
-	s.faults(s.engines[0], standin.Faults{RefuseAll: true})
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.routers[0].callers.String()+"/v1/completions", strings.NewReader(`{"model":"desk-7b","prompt":"x"}`))
+	s.setFaults(s.engines[0], standin.Faults{RefuseAll: true})
+	req, err := http.NewRequest(http.MethodPost, "http://"+s.routers[0].callerAddr.String()+"/v1/completions", strings.NewReader(`{"model":"desk-7b","prompt":"x"}`))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer demo-formosa-air")
-	got := s.do(req)
+	got := s.doRequest(req)
 	require.Equal(t, 503, got.status)
 	require.Equal(t, "not-run", got.verdict)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
--- a/internal/e2e/rest_test.go
+++ b/internal/e2e/rest_test.go
@@ -10,21 +10,21 @@
 )
 
 // Targets that refuse all and say when to come back are asked once each, and callers are refused at once as not run.
-func TestTargetsAskForRest(t *testing.T) {
+func TestTargetsRequestBackoff(t *testing.T) {
 	t.Parallel()
 	const engines, asked = 3, 20
 	s := newSystem(t, setup{engines: engines, routers: 1})
 	for _, e := range s.engines {
-		s.faults(e, standin.Faults{RefuseAll: true, RetryAfter: "30"})
+		s.setFaults(e, standin.Faults{RefuseAll: true, RetryAfter: "30"})
 	}
 	c := s.client(s.routers...)
 	for range asked {
-		got := s.ask(c, question("formosa-air", "t", "q", 2))
+		got := s.send(c, promptRequest("formosa-air", "t", "q", 2))
 		require.False(t, got.OK())
 		require.Equal(t, "not-run", got.Verdict)
 	}
 	var events []event.Event
-	require.NoError(t, s.getJSON(s.routers[0].operators, "/v1/events", &events))
+	require.NoError(t, s.getJSON(s.routers[0].operatorAddr, "/v1/events", &events))
 	refused := 0
 	for _, e := range events {
 		if e.Code == event.AttemptRefused {
--- a/internal/e2e/restart_test.go
+++ b/internal/e2e/restart_test.go
@@ -47,9 +47,9 @@
 				routers = 3
 			}
 			s := newSystem(t, setup{engines: 2, routers: routers})
-			s.apply(exampleConfig(t) + "# second\n")
-			s.faults(s.table, standin.Faults{Down: c.out.table, SlowMS: c.slow})
-			s.faults(s.objects, standin.Faults{Down: c.out.objects})
+			s.applyConfig(exampleConfig(t) + "# second\n")
+			s.setFaults(s.table, standin.Faults{Down: c.out.table, SlowMS: c.slow})
+			s.setFaults(s.objects, standin.Faults{Down: c.out.objects})
 			restarted := s.routers[:1]
 			if c.all {
 				restarted = s.routers
@@ -62,12 +62,12 @@
 				r.run()
 			}
 			if !c.serving {
-				s.staysOut(restarted[0])
+				s.checkNotServing(restarted[0])
 				return
 			}
-			s.await(restarted[0].callers, "/readyz")
+			s.await(restarted[0].callerAddr, "/readyz")
 			t.Logf("ready after %s", time.Since(begun).Round(time.Millisecond))
-			r := s.ask(s.client(restarted[0]), question("formosa-air", "rules", "a", 4))
+			r := s.send(s.client(restarted[0]), promptRequest("formosa-air", "rules", "a", 4))
 			require.True(t, r.OK(), "the first request is answered: %+v", r)
 			st, _ := s.status(restarted[0])
 			require.EqualValues(t, 2, st.Revision, "nothing that was in force reverts")
@@ -75,12 +75,12 @@
 	}
 }
 
-// staysOut checks that a router that can learn nothing answers, and that it refuses as not run.
-func (s *system) staysOut(r *routerProc) {
+// checkNotServing checks that a router that can learn nothing answers, and that it refuses as not run.
+func (s *system) checkNotServing(r *routerProc) {
 	s.t.Helper()
-	s.await(r.operators, "/healthz")
+	s.await(r.operatorAddr, "/healthz")
 	for range 10 {
-		got := s.ask(s.client(r), question("formosa-air", "rules", "a", 4))
+		got := s.send(s.client(r), promptRequest("formosa-air", "rules", "a", 4))
 		require.Equal(s.t, http.StatusServiceUnavailable, got.Status)
 		require.Equal(s.t, "not-run", got.Verdict)
 		time.Sleep(100 * time.Millisecond)
@@ -92,7 +92,7 @@
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 2})
-	s.faults(s.table, standin.Faults{LoseReplies: 6})
+	s.setFaults(s.table, standin.Faults{LoseReplies: 6})
 	var (
 		wg       sync.WaitGroup
 		mu       sync.Mutex
@@ -125,7 +125,7 @@
 	require.Equal(t, 4, conflict, "the others are told whose change came first")
 }
 
-func TestFrozenRouterServesNothingOld(t *testing.T) {
+func TestSuspendedRouterServesNoOldRevision(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 2})
 	frozen := s.routers[1]
@@ -142,10 +142,10 @@
 	require.Contains(t, out, "was not seen in force")
 	frozen.signal(syscall.SIGCONT)
 	for range 50 {
-		r := s.ask(s.client(frozen), question("formosa-air", "t", "x", 2))
+		r := s.send(s.client(frozen), promptRequest("formosa-air", "t", "x", 2))
 		require.NotEqual(t, http.StatusOK, r.Status, "a router that wakes serves nothing under an old revision")
 	}
-	s.await(frozen.callers, "/readyz")
+	s.await(frozen.callerAddr, "/readyz")
 	st, _ := s.status(frozen)
 	require.EqualValues(t, 2, st.Revision)
 }
@@ -153,17 +153,17 @@
 func TestRouterCutFromTableAndPeers(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 2})
-	s.faults(s.table, standin.Faults{Down: true})
-	s.faults(s.objects, standin.Faults{Down: true})
+	s.setFaults(s.table, standin.Faults{Down: true})
+	s.setFaults(s.objects, standin.Faults{Down: true})
 	time.Sleep(4 * time.Second)
-	r := s.ask(s.client(s.routers...), question("formosa-air", "t", "x", 2))
+	r := s.send(s.client(s.routers...), promptRequest("formosa-air", "t", "x", 2))
 	require.True(t, r.OK(), "while the stores are out for all, routers that hear each other serve on: %+v", r)
 	s.routers[0].kill()
-	s.eventually(func() bool { return s.getJSON(s.routers[1].callers, "/readyz", nil) != nil }, "a router cut from the stores and all peers takes itself out")
-	got := s.ask(s.client(s.routers[1]), question("formosa-air", "t", "y", 2))
+	s.eventually(func() bool { return s.getJSON(s.routers[1].callerAddr, "/readyz", nil) != nil }, "a router cut from the stores and all peers takes itself out")
+	got := s.send(s.client(s.routers[1]), promptRequest("formosa-air", "t", "y", 2))
 	require.Equal(t, "not-run", got.Verdict)
-	s.faults(s.table, standin.Faults{})
-	s.await(s.routers[1].callers, "/readyz")
+	s.setFaults(s.table, standin.Faults{})
+	s.await(s.routers[1].callerAddr, "/readyz")
 }
 
 // TestChangesUnderLoad applies revision after revision while callers ask.
@@ -171,13 +171,13 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 3})
 	c := s.client(s.routers...)
-	stop := during(3, func(i, n int) {
-		if r := s.ask(c, question("formosa-air", "rules", fmt.Sprint(i, n), 2)); !r.OK() {
+	stop := repeatUntilStopped(3, func(i, n int) {
+		if r := s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(i, n), 2)); !r.OK() {
 			t.Errorf("refused by a change of configuration: %+v", r)
 		}
 	})
 	for i := range 6 {
-		s.apply(s.set.config + fmt.Sprintf("# change %d\n", i))
+		s.applyConfig(s.setup.config + fmt.Sprintf("# change %d\n", i))
 	}
 	stop()
 }
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -19,16 +19,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// authority signs certificates for the loopback address.
-type authority struct {
+// testCA signs certificates for the loopback address.
+type testCA struct {
 	t    *testing.T
 	dir  string
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
 }
 
-func newAuthority(t *testing.T) *authority {
-	a := &authority{t: t, dir: t.TempDir()}
+func newTestCA(t *testing.T) *testCA {
+	a := &testCA{t: t, dir: t.TempDir()}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	a.key = key
@@ -43,15 +43,15 @@
 	return a
 }
 
-func (a *authority) path(name string) string { return filepath.Join(a.dir, name) }
+func (a *testCA) path(name string) string { return filepath.Join(a.dir, name) }
 
-func (a *authority) write(name, kind string, der []byte) {
+func (a *testCA) write(name, kind string, der []byte) {
 	data := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	require.NoError(a.t, os.WriteFile(a.path(name), data, 0o600))
 }
 
 // issue writes a certificate and key for the loopback address.
-func (a *authority) issue(serial int64) {
+func (a *testCA) issue(serial int64) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
 	cert := &x509.Certificate{
@@ -68,7 +68,7 @@
 	a.write("cert.pem", "CERTIFICATE", der)
 }
 
-func (a *authority) client(withCert bool) *http.Client {
+func (a *testCA) client(withCert bool) *http.Client {
 	pool := x509.NewCertPool()
 	data, err := os.ReadFile(a.path("ca.pem"))
 	require.NoError(a.t, err)
@@ -79,19 +79,19 @@
 		require.NoError(a.t, err)
 		cfg.Certificates = []tls.Certificate{pair}
 	}
-	return &http.Client{Timeout: patience, Transport: &http.Transport{TLSClientConfig: cfg, DisableKeepAlives: true}}
+	return &http.Client{Timeout: waitTimeout, Transport: &http.Transport{TLSClientConfig: cfg, DisableKeepAlives: true}}
 }
 
 // TestTLS runs two routers with certificates on every door, and changes the certificate.
 func TestTLS(t *testing.T) {
 	t.Parallel()
-	a := newAuthority(t)
+	a := newTestCA(t)
 	a.issue(2)
 	flags := []string{
 		"--caller-cert", a.path("cert.pem"), "--caller-key", a.path("key.pem"),
 		"--peer-cert", a.path("cert.pem"), "--peer-key", a.path("key.pem"), "--peer-ca", a.path("ca.pem"),
 	}
-	s := &system{t: t, labels: nil, set: setup{routers: 2, routerFlags: flags}}
+	s := &system{t: t, labels: nil, setup: setup{routers: 2, routerFlags: flags}}
 	addrs := freeAddrs(t, 3)
 	s.table = s.standin("table", addrs[0], "table")
 	s.objects = s.standin("objects", addrs[1], "objects")
@@ -105,7 +105,7 @@
 		}
 		return resp, err
 	}
-	operators := "https://" + s.routers[0].operators.String() + "/v1/status"
+	operators := "https://" + s.routers[0].operatorAddr.String() + "/v1/status"
 	s.eventually(func() bool { _, err := get(known, operators); return err == nil }, "the operators' door answers")
 	_, err := get(a.client(false), operators)
 	require.Error(t, err, "an operator without a certificate is turned away")
@@ -114,13 +114,13 @@
 		return err == nil && containsAll(out, "r1", "r2")
 	}, "peers find each other over mutual TLS")
 
-	resp, err := get(a.client(false), "https://"+s.routers[0].callers.String()+"/healthz")
+	resp, err := get(a.client(false), "https://"+s.routers[0].callerAddr.String()+"/healthz")
 	require.NoError(t, err)
 	require.EqualValues(t, 2, resp.TLS.PeerCertificates[0].SerialNumber.Int64())
 	time.Sleep(20 * time.Millisecond)
 	a.issue(3)
 	s.eventually(func() bool {
-		resp, err := get(a.client(false), "https://"+s.routers[0].callers.String()+"/healthz")
+		resp, err := get(a.client(false), "https://"+s.routers[0].callerAddr.String()+"/healthz")
 		return err == nil && resp.TLS.PeerCertificates[0].SerialNumber.Int64() == 3
 	}, "a changed certificate is used without a restart")
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -20,56 +20,56 @@
 
 // balancer gives new connections to the nodes that say that they are ready.
 type balancer struct {
-	site *site
+	cluster *cluster
 
 	mu     sync.Mutex
-	missed map[string]int
+	misses map[string]int
 }
 
 // The balancer asks once a second and leaves out a node that missed twice.
 const (
-	askEvery   = time.Second
-	missesMost = 2
+	probeInterval = time.Second
+	maxMisses     = 2
 )
 
 // run asks the nodes until ctx ends.
 func (b *balancer) run(ctx context.Context) {
-	c := client()
+	c := probeClient()
 	for ctx.Err() == nil {
-		for _, n := range b.site.allNodes() {
+		for _, n := range b.cluster.allNodes() {
 			go func() {
 				ready := n.ready(ctx, c)
 				b.mu.Lock()
 				defer b.mu.Unlock()
-				b.missed[n.name]++
+				b.misses[n.name]++
 				if ready {
-					b.missed[n.name] = 0
+					b.misses[n.name] = 0
 				}
 			}()
 		}
-		wait(ctx, askEvery)
+		wait(ctx, probeInterval)
 	}
 }
 
 // pick returns a node for a new connection. Where fewer than half are in, it is any.
 func (b *balancer) pick() *node {
-	all := b.site.allNodes()
+	all := b.cluster.allNodes()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var in []*node
+	var candidates []*node
 	for _, n := range all {
-		if b.missed[n.name] < missesMost {
-			in = append(in, n)
+		if b.misses[n.name] < maxMisses {
+			candidates = append(candidates, n)
 		}
 	}
-	if 2*len(in) < len(all) {
-		in = all
+	if 2*len(candidates) < len(all) {
+		candidates = all
 	}
-	return in[rand.IntN(len(in))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// dialTime is what a new connection gets to come up.
-const dialTime = time.Second
+// dialTimeout is what a new connection gets to come up.
+const dialTimeout = time.Second
 
 // taggedConn is a connection that knows its process.
 type taggedConn struct {
@@ -85,8 +85,8 @@
 	if p == nil {
 		return nil, errs.Errorf("%s is down", n.name)
 	}
-	d := net.Dialer{Timeout: dialTime}
-	c, err := d.DialContext(ctx, "tcp4", n.set.Callers.String())
+	d := net.Dialer{Timeout: dialTimeout}
+	c, err := d.DialContext(ctx, "tcp4", n.settings.Callers.String())
 	if err != nil {
 		return nil, err
 	}
@@ -96,78 +96,78 @@
 // caller sends calls over connections that it keeps until they end, and repeats
 // over new ones.
 type caller struct {
-	site *site
-	name string
-	keep *http.Client
-	anew *http.Client
+	cluster   *cluster
+	name      string
+	keepAlive *http.Client
+	newConns  *http.Client
 }
 
-// flows is how many calls a caller has under way at once.
-const flows = 2
+// concurrentCalls is how many calls a caller has under way at once.
+const concurrentCalls = 2
 
-func newCaller(s *site, b *balancer, name string) *caller {
+func newCaller(s *cluster, b *balancer, name string) *caller {
 	client := func(keep bool) *http.Client {
 		return &http.Client{Transport: &http.Transport{
-			DialContext: b.dial, DisableCompression: true, DisableKeepAlives: !keep, MaxIdleConnsPerHost: flows,
+			DialContext: b.dial, DisableCompression: true, DisableKeepAlives: !keep, MaxIdleConnsPerHost: concurrentCalls,
 		}}
 	}
-	return &caller{site: s, name: name, keep: client(true), anew: client(false)}
+	return &caller{cluster: s, name: name, keepAlive: client(true), newConns: client(false)}
 }
 
 // The pauses of a flow between two calls.
 const (
-	leastPause = 10 * time.Millisecond
-	mostPause  = 100 * time.Millisecond
+	minPause = 10 * time.Millisecond
+	maxPause = 100 * time.Millisecond
 )
 
 // run sends calls until ctx ends; the last is finished.
 func (c *caller) run(ctx context.Context) {
 	var all sync.WaitGroup
-	for f := range flows {
+	for f := range concurrentCalls {
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				c.call(fmt.Sprintf("%s.%d.%d", c.name, f, n))
-				wait(ctx, leastPause+rand.N(mostPause-leastPause))
+				wait(ctx, minPause+rand.N(maxPause-minPause))
 			}
 		})
 	}
 	all.Wait()
-	c.keep.CloseIdleConnections()
+	c.keepAlive.CloseIdleConnections()
 }
 
-// mix is how often the kinds of calls come.
-var mix = []struct {
+// callMix is how often the kinds of calls come.
+var callMix = []struct {
 	kind CallKind
 	path string
 	part int
 }{
 	{StreamCall, "/stream/", 30}, {ResumeCall, "/resume/", 20}, {OnceCall, "/once/", 20}, {SafeCall, "/safe/", 8},
-	{SafeCall, "/public/", 4}, {SafeCall, movePath, 6}, {SafeCall, "", 12},
+	{SafeCall, "/public/", 4}, {SafeCall, movedPath, 6}, {SafeCall, "", 12},
 }
 
-// draw returns a new call. The last of the mix goes to a route of some version.
-func (c *caller) draw(call string) Attempt {
+// newCall returns a new call. The last of the mix goes to a route of some version.
+func (c *caller) newCall(call string) Attempt {
 	a := Attempt{Call: call, Kind: SafeCall, Key: openKey, Body: strings.Repeat(call+" ", 1+rand.IntN(20))}
 	total := 0
-	for _, m := range mix {
+	for _, m := range callMix {
 		total += m.part
 	}
 	at := rand.IntN(total)
-	for _, m := range mix {
+	for _, m := range callMix {
 		if at -= m.part; at < 0 {
 			a.Kind, a.Path = m.kind, m.path
 			break
 		}
 	}
-	lately := func(back int) int64 { return max(1, c.site.newest()-int64(rand.IntN(back))) }
+	lately := func(back int) int64 { return max(1, c.cluster.newestVersion()-int64(rand.IntN(back))) }
 	if a.Path == "" {
-		a.Path = pathOf(lately(routesStay + 2))
+		a.Path = versionPath(lately(routesRetained + 2))
 	}
 	switch rand.IntN(6) {
 	case 0:
-		a.Key = keyOf(lately(keysStay + 1))
+		a.Key = versionKey(lately(keysRetained + 1))
 	case 1:
-		a.Key = walledKey
+		a.Key = isolatedKey
 	}
 	a.Path += "x?" + call
 	if a.Kind.streams() {
@@ -178,22 +178,22 @@
 
 // The bounds of a call: how often it is sent, and the part of streams that are given up early.
 const (
-	attemptsMost = 3
-	leavePart    = 0.03
+	maxAttempts     = 3
+	abandonFraction = 0.03
 )
 
 // call sends one call, and repeats it as its kind allows.
 func (c *caller) call(call string) {
-	a := c.draw(call)
+	a := c.newCall(call)
 	end := time.Now().Add(callTime)
-	for n := range attemptsMost {
+	for n := range maxAttempts {
 		a.ID = fmt.Sprintf("%s.%d", call, n)
-		client := c.keep
+		client := c.keepAlive
 		if n > 0 {
-			client = c.anew
+			client = c.newConns
 		}
-		pause, again := c.attempt(client, a, time.Until(end))
-		if !again || time.Until(end) < leastPause {
+		pause, retry := c.attempt(client, a, time.Until(end))
+		if !retry || time.Until(end) < minPause {
 			return
 		}
 		time.Sleep(min(pause, time.Until(end)/3))
@@ -201,30 +201,30 @@
 }
 
 // attempt sends a call once. It returns whether and when it may be sent again.
-func (c *caller) attempt(client *http.Client, a Attempt, left time.Duration) (pause time.Duration, again bool) {
+func (c *caller) attempt(client *http.Client, a Attempt, left time.Duration) (pause time.Duration, retry bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
-	if a.Kind.streams() && rand.Float64() < leavePart {
+	if a.Kind.streams() && rand.Float64() < abandonFraction {
 		t := time.AfterFunc(rand.N(left/8), cancel)
 		defer t.Stop()
 	}
-	place := 0
+	index := 0
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		conn, ok := i.Conn.(*taggedConn)
 		if !ok {
 			return
 		}
-		c.site.write(func(r *Record) {
-			a := &r.Attempts[place]
+		c.cluster.update(func(r *Record) {
+			a := &r.Attempts[index]
 			a.Node, a.Boot, a.Kept, a.Sent = conn.node, conn.boot, i.Reused, time.Now()
 		})
 	}})
 	a.Sent = time.Now()
-	c.site.write(func(r *Record) {
-		place = len(r.Attempts)
+	c.cluster.update(func(r *Record) {
+		index = len(r.Attempts)
 		r.Attempts = append(r.Attempts, a)
 	})
-	pause = leastPause
+	pause = minPause
 	answer := func(r *Attempt) {
 		resp, err := client.Do(request(ctx, a, left))
 		if err != nil {
@@ -244,28 +244,28 @@
 	}
 	var got Attempt
 	answer(&got)
-	c.site.write(func(r *Record) {
-		p := &r.Attempts[place]
+	c.cluster.update(func(r *Record) {
+		p := &r.Attempts[index]
 		p.Done, p.Status, p.Seal, p.AnswerID, p.Answer, p.Err = time.Now(), got.Status, got.Seal, got.AnswerID, got.Answer, got.Err
 		p.Left = ctx.Err() != nil
-		again = repeats(*p)
+		retry = retryable(*p)
 	})
-	return pause, again
+	return pause, retry
 }
 
-// repeats reports whether a call may be sent again after an attempt.
-func repeats(a Attempt) bool {
+// retryable reports whether a call may be sent again after an attempt.
+func retryable(a Attempt) bool {
 	switch a.Status {
 	case http.StatusOK:
-		return a.Err != "" && !a.Kind.once()
+		return a.Err != "" && !a.Kind.atMostOnce()
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound:
 		return false
 	}
-	return !a.Kind.once() || a.promised() || a.Err != "" && a.Node == ""
+	return !a.Kind.atMostOnce() || a.refusedNotRun() || a.Err != "" && a.Node == ""
 }
 
-// promised reports whether the answer says that the request has not run and never will.
-func (a Attempt) promised() bool {
+// refusedNotRun reports whether the answer says that the request has not run and never will.
+func (a Attempt) refusedNotRun() bool {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -286,16 +286,16 @@
 		panic("soak: a path of its own does not parse")
 	}
 	// A POST is never sent again by the client itself once bytes of it were written.
-	said := platformtest.RequestInfo{ID: a.ID, Key: a.Key, Timeout: left}
+	params := platformtest.RequestInfo{ID: a.ID, Key: a.Key, Timeout: left}
 	if a.Parts != "" {
-		said.Model, said.Parts, said.PromptTokens, said.AnswerTokens = modelName, a.Parts, promptTokens, answerTokens
+		params.Model, params.Parts, params.PromptTokens, params.AnswerTokens = modelName, a.Parts, promptTokens, answerTokens
 	}
-	said.Set(req.Header)
+	params.Set(req.Header)
 	return req
 }
 
-// wanted is the whole answer to an attempt.
-func (a Attempt) wanted() string {
+// expectedAnswer is the whole answer to an attempt.
+func (a Attempt) expectedAnswer() string {
 	if !a.Kind.streams() {
 		return platformtest.Body(a.ID)
 	}
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -9,25 +9,25 @@
 
 // The keys that stay, and the organisations that they belong to; the second is isolated.
 const (
-	openKey   = "key-open"
-	openOrg   = "open"
-	walledKey = "key-walled"
-	walledOrg = "walled"
+	openKey     = "key-open"
+	openOrg     = "open"
+	isolatedKey = "key-walled"
+	isolatedOrg = "walled"
 )
 
 // How many of the routes and keys that come with each version stay.
 const (
-	routesStay = 3
-	keysStay   = 1
+	routesRetained = 3
+	keysRetained   = 1
 )
 
 // The names of what comes with a version.
-func pathOf(version int64) string { return fmt.Sprintf("/v%d/", version) }
-func keyOf(version int64) string  { return fmt.Sprintf("key-%d", version) }
-func orgOf(version int64) string  { return fmt.Sprintf("org-%d", version) }
+func versionPath(version int64) string { return fmt.Sprintf("/v%d/", version) }
+func versionKey(version int64) string  { return fmt.Sprintf("key-%d", version) }
+func versionOrg(version int64) string  { return fmt.Sprintf("org-%d", version) }
 
-// movePath is a route that each version moves to the other plain service.
-const movePath = "/move/"
+// movedPath is a route that each version moves to the other plain service.
+const movedPath = "/move/"
 
 // configAt returns the configuration of a version. Each brings a route and a key,
 // takes away one of both, and moves a route, so that what a node does with a
@@ -48,7 +48,7 @@
 		Routes: []platformtest.Route{
 			route("/stream/", "streaming", engineName, 1), resumable, public,
 			route("/once/", "non_idempotent", plainName, 1), route("/safe/", "idempotent", plainName, 2),
-			route(movePath, "idempotent", []string{plainName, spareName}[version%2], 2),
+			route(movedPath, "idempotent", []string{plainName, spareName}[version%2], 2),
 		},
 		Services: []platformtest.Service{
 			{Name: engineName, HealthPath: "/healthz", MaxConns: 300, Engine: &platformtest.Engine{
@@ -58,21 +58,21 @@
 			{Name: plainName, HealthPath: "/healthz", MaxConns: 100},
 			{Name: spareName, HealthPath: "/healthz", MaxConns: 100},
 		},
-		Tenants: []platformtest.Tenant{{Name: openOrg, Keys: []string{openKey}}, {Name: walledOrg, Keys: []string{walledKey}, Isolated: true}},
+		Tenants: []platformtest.Tenant{{Name: openOrg, Keys: []string{openKey}}, {Name: isolatedOrg, Keys: []string{isolatedKey}, Isolated: true}},
 		Limits:  platformtest.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderMS: 3000, IdleMS: 15000},
 	}
-	for v := max(1, version-routesStay+1); v <= version; v++ {
-		c.Routes = append(c.Routes, route(pathOf(v), "idempotent", plainName, 2))
+	for v := max(1, version-routesRetained+1); v <= version; v++ {
+		c.Routes = append(c.Routes, route(versionPath(v), "idempotent", plainName, 2))
 	}
-	for v := max(1, version-keysStay+1); v <= version; v++ {
-		c.Tenants = append(c.Tenants, platformtest.Tenant{Name: orgOf(v), Keys: []string{keyOf(v)}})
+	for v := max(1, version-keysRetained+1); v <= version; v++ {
+		c.Tenants = append(c.Tenants, platformtest.Tenant{Name: versionOrg(v), Keys: []string{versionKey(v)}})
 	}
 	return c
 }
 
-// handling is what became of a request as far as it depends on the configuration:
+// configOutcome is what became of a request as far as it depends on the configuration:
 // the service that ran it, or that its path or its key was not known.
-type handling struct {
+type configOutcome struct {
 	service       string
 	organisation  string
 	noPath, noKey bool
@@ -80,7 +80,7 @@
 
 // allows reports whether a configuration that has a request handled as h allows
 // what was seen of it.
-func (h handling) allows(seen handling) bool {
+func (h configOutcome) allows(seen configOutcome) bool {
 	if seen.noPath {
 		return h.noPath
 	}
@@ -90,9 +90,9 @@
 	return !h.noPath && !h.noKey && h.service == seen.service && (h.organisation == "" || h.organisation == seen.organisation)
 }
 
-// handle returns how a configuration has a request handled.
-func handle(c platformtest.Config, path, key string) handling {
-	h := handling{noPath: true, noKey: true}
+// expectedOutcome returns how a configuration has a request handled.
+func expectedOutcome(c platformtest.Config, path, key string) configOutcome {
+	h := configOutcome{noPath: true, noKey: true}
 	public := false
 	for _, r := range c.Routes {
 		if strings.HasPrefix(path, r.Prefix) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,22 +13,22 @@
 
 // The figures of the faults.
 const (
-	// lapseTime is after how much silence a target's entry goes: three of its heartbeats.
-	lapseTime = 600 * time.Millisecond
-	// reuseTime is after how long another service takes the address of a target that is gone.
-	reuseTime = 2 * time.Second
-	// latePart is the part of orders that are late, leastLate and mostLate by how
-	// much; lateEvery is how often that is drawn anew, under the time between two orders.
-	latePart  = 0.9
-	leastLate = 2 * time.Second
-	mostLate  = 12 * time.Second
-	lateEvery = 300 * time.Millisecond
-	// greyPart is the part of its requests that a grey target fails.
-	greyPart = 0.5
+	// entryTTL is after how much silence a target's entry goes: three of its heartbeats.
+	entryTTL = 600 * time.Millisecond
+	// addressReuseDelay is after how long another service takes the address of a target that is gone.
+	addressReuseDelay = 2 * time.Second
+	// delayedOrderFraction is the part of orders that are late, minOrderDelay and maxOrderDelay by how
+	// much; orderDelayInterval is how often that is drawn anew, under the time between two orders.
+	delayedOrderFraction = 0.9
+	minOrderDelay        = 2 * time.Second
+	maxOrderDelay        = 12 * time.Second
+	orderDelayInterval   = 300 * time.Millisecond
+	// greyFailureFraction is the part of its requests that a grey target fails.
+	greyFailureFraction = 0.5
 )
 
 // apply carries a step out, and returns once it is over.
-func (s *site) apply(ctx context.Context, step Step) {
+func (s *cluster) apply(ctx context.Context, step Step) {
 	nodes := s.allNodes()
 	n := nodes[max(0, step.Subject)%len(nodes)]
 	sl := s.engineOrPlain(step)
@@ -37,64 +37,64 @@
 		if p := n.running(); p != nil {
 			s.applyProcess(ctx, step, n, p)
 		}
-	case HangUp:
-		s.must(n.writeSettings(s.seeds()))
+	case ReloadSettings:
+		s.recordError(n.writeSettings(s.seeds()))
 		if p := n.running(); p != nil {
-			s.note(Trouble{Scope: OfPlan, Kind: HangUp, Subject: n.name})
+			s.recordFault(InjectedFault{Scope: OfPlan, Kind: ReloadSettings, Subject: n.name})
 			n.signal(p, syscall.SIGHUP, false)
 		}
-	case Join:
+	case AddNode:
 		n, err := s.prepareNode()
 		if err != nil {
-			s.must(err)
+			s.recordError(err)
 			return
 		}
-		s.note(Trouble{Scope: OfNode, Kind: Join, Subject: n.name})
-		s.must(s.startNode(n))
+		s.recordFault(InjectedFault{Scope: OfNode, Kind: AddNode, Subject: n.name})
+		s.recordError(s.startNode(n))
 	case StoreFails:
 		s.failStore(ctx, step, n)
 	case StoreForgets:
-		s.note(Trouble{Scope: OfStore, Kind: StoreForgets})
+		s.recordFault(InjectedFault{Scope: OfStore, Kind: StoreForgets})
 		s.store.Compact()
-	case StoreReturns:
-		s.note(Trouble{Scope: OfStore, Kind: StoreReturns, Detail: step.Length.String()})
+	case StoreRollback:
+		s.recordFault(InjectedFault{Scope: OfStore, Kind: StoreRollback, Detail: step.Length.String()})
 		s.store.RestoreCopy(step.Length)
 	case StoreLink:
-		s.impair(ctx, step, n.link, n.name)
+		s.impairLink(ctx, step, n.link, n.name)
 	case TargetLink:
-		s.impair(ctx, step, sl.proxy, "")
-	case TargetCrash, TargetAgain, TargetDrain, TargetHide:
+		s.impairLink(ctx, step, sl.proxy, "")
+	case TargetCrash, TargetRestart, TargetDrain, TargetUnlist:
 		if !s.claim(sl) {
 			return
 		}
 		defer s.release(sl)
 		switch step.Kind {
 		case TargetCrash:
-			s.crash(ctx, step, sl)
-		case TargetAgain:
-			s.again(ctx, step, sl)
+			s.crashTarget(ctx, step, sl)
+		case TargetRestart:
+			s.restartTarget(ctx, step, sl)
 		default:
-			s.replace(ctx, step, sl)
+			s.replaceTarget(ctx, step, sl)
 		}
 	case TargetGrey:
-		s.grey(ctx, step, sl)
-	case RequestDeadly:
-		s.sendDeadly(ctx, step)
-	case TargetNamesLimit, TargetSaysLeaving, TargetRests:
-		s.needs(ctx, step, sl)
+		s.failPartially(ctx, step, sl)
+	case SuspectRequest:
+		s.sendSuspectCopies(ctx, step)
+	case TargetHintsLimit, TargetHintsDraining, TargetHintsBackoff:
+		s.sendHints(ctx, step, sl)
 	case OrdersLate:
 		s.delayOrders(ctx, step, sl)
-	case NameWeights:
-		s.must(s.name())
-		s.note(Trouble{Scope: OfPlan, Kind: NameWeights, Detail: fmt.Sprint(s.weights)})
+	case AnnounceWeights:
+		s.recordError(s.announceWeights())
+		s.recordFault(InjectedFault{Scope: OfPlan, Kind: AnnounceWeights, Detail: fmt.Sprint(s.weights)})
 	case Reconfigure:
-		s.must(s.declare())
-		s.note(Trouble{Scope: OfPlan, Kind: Reconfigure, Detail: fmt.Sprint(s.newest())})
+		s.recordError(s.writeConfig())
+		s.recordFault(InjectedFault{Scope: OfPlan, Kind: Reconfigure, Detail: fmt.Sprint(s.newestVersion())})
 	}
 }
 
 // engineOrPlain returns the place that a step hits; orders go to engines alone.
-func (s *site) engineOrPlain(step Step) *slot {
+func (s *cluster) engineOrPlain(step Step) *slot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	most := len(s.slots)
@@ -105,14 +105,14 @@
 }
 
 // applyProcess pauses, kills or stops a process, which runs again afterwards.
-func (s *site) applyProcess(ctx context.Context, step Step, n *node, p *process) {
-	defer s.begin(Trouble{Scope: OfNode, Kind: step.Kind, Subject: n.name})()
+func (s *cluster) applyProcess(ctx context.Context, step Step, n *node, p *process) {
+	defer s.beginFault(InjectedFault{Scope: OfNode, Kind: step.Kind, Subject: n.name})()
 	switch step.Kind {
 	case Pause:
-		s.hold(p)
+		s.addImpairment(p)
 		n.signal(p, syscall.SIGSTOP, false)
 		wait(ctx, step.Length)
-		if s.last(p) {
+		if s.removeImpairment(p) {
 			n.signal(p, syscall.SIGCONT, false)
 		}
 		return
@@ -121,139 +121,139 @@
 		select {
 		case <-p.ended:
 		case <-time.After(s.bounds.Grace):
-			s.note(Trouble{Scope: OfPlan, Kind: Stop, Subject: n.name, Detail: "still there at the end of the grace"})
+			s.recordFault(InjectedFault{Scope: OfPlan, Kind: Stop, Subject: n.name, Detail: "still there at the end of the grace"})
 			n.kill(p)
 		}
 	default:
 		n.kill(p)
 	}
 	wait(ctx, step.Length)
-	s.must(s.startNode(n))
+	s.recordError(s.startNode(n))
 }
 
 // failStore has the store fail at one door or all.
-func (s *site) failStore(ctx context.Context, step Step, n *node) {
+func (s *cluster) failStore(ctx context.Context, step Step, n *node) {
 	subject, hit := n.name, []*node{n}
-	if step.Subject == Everyone {
+	if step.Subject == AllNodes {
 		subject, hit = "", s.allNodes()
 	}
-	defer s.begin(Trouble{Scope: OfStore, Kind: StoreFails, Subject: subject, Detail: fmt.Sprint(step.Outage)})()
+	defer s.beginFault(InjectedFault{Scope: OfStore, Kind: StoreFails, Subject: subject, Detail: fmt.Sprint(step.Outage)})()
 	for _, n := range hit {
-		s.hold(n.door)
+		s.addImpairment(n.door)
 		n.door.Fail(step.Outage)
 	}
 	wait(ctx, step.Length)
 	for _, n := range hit {
-		if s.last(n.door) {
+		if s.removeImpairment(n.door) {
 			n.door.Fail(platformtest.Serving)
 		}
 	}
 }
 
-// hold counts a fault that holds what it hits, and last reports at its end whether no
+// addImpairment counts a fault that holds what it hits, and last reports at its end whether no
 // other does, so that of faults that overlap the last one heals.
-func (s *site) hold(what any) {
+func (s *cluster) addImpairment(what any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[what]++
+	s.impairments[what]++
 }
 
-func (s *site) last(what any) bool {
+func (s *cluster) removeImpairment(what any) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[what]--
-	return s.held[what] == 0
+	s.impairments[what]--
+	return s.impairments[what] == 0
 }
 
-// impair impairs a link. A reset and silence happen at one moment.
-func (s *site) impair(ctx context.Context, step Step, p *Proxy, subject string) {
-	defer s.begin(Trouble{Scope: OfLink, Kind: step.Kind, Subject: subject, Detail: string(step.Link)})()
-	if step.Link == Reset || step.Link == Silence {
-		p.Set(step.Link)
+// impairLink impairs a link. A reset and silence happen at one moment.
+func (s *cluster) impairLink(ctx context.Context, step Step, p *Proxy, subject string) {
+	defer s.beginFault(InjectedFault{Scope: OfLink, Kind: step.Kind, Subject: subject, Detail: string(step.Link)})()
+	if step.Link == Reset || step.Link == Stall {
+		p.SetState(step.Link)
 		return
 	}
-	s.hold(p)
-	p.Set(step.Link)
+	s.addImpairment(p)
+	p.SetState(step.Link)
 	wait(ctx, step.Length)
-	if s.last(p) {
-		p.Set(Passing)
+	if s.removeImpairment(p) {
+		p.SetState(Passing)
 	}
 }
 
-// crash ends a target, whose entry lapses, and starts it again with the weights that it had.
-func (s *site) crash(ctx context.Context, step Step, sl *slot) {
+// crashTarget ends a target, whose entry lapses, and starts it again with the weights that it had.
+func (s *cluster) crashTarget(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
-	s.end(sl, r)
-	time.AfterFunc(lapseTime, r.Unlist)
+	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	s.endTarget(sl, r)
+	time.AfterFunc(entryTTL, r.Unlist)
 	wait(ctx, step.Length)
-	s.must(s.startTarget(sl, s.newID(r.Service), r.Service, r.Weights(), time.Now()))
+	s.recordError(s.startTarget(sl, s.newID(r.Service), r.Service, r.Weights(), time.Now()))
 }
 
-// end ends a target without a word.
-func (s *site) end(sl *slot, r *platformtest.Replica) {
+// endTarget ends a target without a word.
+func (s *cluster) endTarget(sl *slot, r *platformtest.Replica) {
 	sl.proxy.Close()
 	r.Crash()
-	s.target(r.ID, func(t *Target) { t.Ended = time.Now() })
+	s.updateTarget(r.ID, func(t *Target) { t.Ended = time.Now() })
 }
 
-// skewTime is how far the clock of a target that starts again is off, to one side or the other.
-const skewTime = 10 * time.Minute
+// clockSkew is how far the clock of a target that starts again is off, to one side or the other.
+const clockSkew = 10 * time.Minute
 
-// again ends a target and starts it again under the id that it had, with its weights and
+// restartTarget ends a target and starts it again under the id that it had, with its weights and
 // nothing else of before. Its entry lapses only if that takes longer than it lasts. The
 // clock that its new start is told by may be off to either side.
-func (s *site) again(ctx context.Context, step Step, sl *slot) {
+func (s *cluster) restartTarget(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
-	s.end(sl, r)
-	lapse := time.AfterFunc(lapseTime, r.Unlist)
+	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	s.endTarget(sl, r)
+	lapse := time.AfterFunc(entryTTL, r.Unlist)
 	wait(ctx, step.Length)
 	lapse.Stop()
-	skew := skewTime
+	skew := clockSkew
 	if step.At.Milliseconds()%2 == 0 {
 		skew = -skew
 	}
-	s.must(s.startTarget(sl, r.ID, r.Service, r.Weights(), time.Now().Add(skew)))
+	s.recordError(s.startTarget(sl, r.ID, r.Service, r.Weights(), time.Now().Add(skew)))
 }
 
-func (s *site) replicaAt(sl *slot) *platformtest.Replica {
+func (s *cluster) replicaAt(sl *slot) *platformtest.Replica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return sl.replica
 }
 
-// replace has a new target take a place over. The old one leaves with or without a
+// replaceTarget has a new target take a place over. The old one leaves with or without a
 // word, and a while later another service takes its address.
-func (s *site) replace(ctx context.Context, step Step, old *slot) {
+func (s *cluster) replaceTarget(ctx context.Context, step Step, old *slot) {
 	r := s.replicaAt(old)
-	if r.Service == strangeName {
+	if r.Service == foreignName {
 		return
 	}
-	end := s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})
+	end := s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})
 	defer end()
-	fresh, err := s.addTarget(r.Service)
+	replacement, err := s.addTarget(r.Service)
 	if err != nil {
-		s.must(err)
+		s.recordError(err)
 		return
 	}
-	s.swap(old, fresh)
-	if step.Kind == TargetHide {
+	s.swapSlots(old, replacement)
+	if step.Kind == TargetUnlist {
 		r.Unlist()
 	} else {
-		s.must(r.Drain())
+		s.recordError(r.Drain())
 	}
-	s.target(r.ID, func(t *Target) { t.Leaving = time.Now() })
+	s.updateTarget(r.ID, func(t *Target) { t.DrainingSince = time.Now() })
 	wait(ctx, s.bounds.Drain+step.Length)
 	old.proxy.Close()
 	r.Shutdown()
-	s.target(r.ID, func(t *Target) { t.Ended = time.Now() })
-	wait(ctx, reuseTime)
-	s.must(s.startTarget(old, s.newID(strangeName), strangeName, 0, time.Now()))
+	s.updateTarget(r.ID, func(t *Target) { t.Ended = time.Now() })
+	wait(ctx, addressReuseDelay)
+	s.recordError(s.startTarget(old, s.newID(foreignName), foreignName, 0, time.Now()))
 }
 
-// swap exchanges the places of two targets in the list.
-func (s *site) swap(a, b *slot) {
+// swapSlots exchanges the places of two targets in the list.
+func (s *cluster) swapSlots(a, b *slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, sl := range s.slots {
@@ -272,16 +272,16 @@
 	plainFaults  = append([]platformtest.Fault{platformtest.ExtraAnswer, platformtest.Foreign, platformtest.Unframed, platformtest.Garbage}, engineFaults...)
 )
 
-// grey has a target fail a part of its requests.
-func (s *site) grey(ctx context.Context, step Step, sl *slot) {
+// failPartially has a target fail a part of its requests.
+func (s *cluster) failPartially(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.begin(Trouble{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
 	faults := plainFaults
 	if r.Service == engineName {
 		faults = engineFaults
 	}
 	r.SetScript(func(*http.Request) platformtest.Fault {
-		if rand.Float64() > greyPart {
+		if rand.Float64() > greyFailureFraction {
 			return platformtest.NoFault
 		}
 		return faults[rand.IntN(len(faults))]
@@ -291,17 +291,17 @@
 }
 
 // delayOrders has a target leave most orders unanswered and carry them out late.
-func (s *site) delayOrders(ctx context.Context, step Step, sl *slot) {
+func (s *cluster) delayOrders(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.begin(Trouble{Scope: OfOrders, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: OfOrders, Kind: step.Kind, Subject: r.ID})()
 	defer r.DelayOrders(0)
 	rng := rand.New(rand.NewPCG(uint64(step.Length), 0))
-	for end := time.Now().Add(step.Length); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, lateEvery) {
-		late := time.Duration(0)
-		if rng.Float64() < latePart {
-			late = leastLate + drawTime(rng, mostLate-leastLate)
+	for end := time.Now().Add(step.Length); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, orderDelayInterval) {
+		delay := time.Duration(0)
+		if rng.Float64() < delayedOrderFraction {
+			delay = minOrderDelay + randomDuration(rng, maxOrderDelay-minOrderDelay)
 		}
-		r.DelayOrders(late)
+		r.DelayOrders(delay)
 	}
 }
 
@@ -314,19 +314,19 @@
 }
 
 // claim takes a place for a step that ends its target.
-func (s *site) claim(sl *slot) bool {
+func (s *cluster) claim(sl *slot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if sl.taken {
+	if sl.claimed {
 		return false
 	}
-	sl.taken = true
+	sl.claimed = true
 	return true
 }
 
 // release ends the claim of a step.
-func (s *site) release(sl *slot) {
+func (s *cluster) release(sl *slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sl.taken = false
+	sl.claimed = false
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -11,22 +11,24 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// begun is when the records of these tests begin.
-var begun = time.Unix(1_000_000, 0)
+// startTime is when the records of these tests begin.
+var startTime = time.Unix(1_000_000, 0)
 
 // at is a time of a record in seconds.
-func at(seconds float64) time.Time { return begun.Add(time.Duration(seconds * float64(time.Second))) }
+func at(seconds float64) time.Time {
+	return startTime.Add(time.Duration(seconds * float64(time.Second)))
+}
 
-// sound is a record that keeps all promises: two nodes, a stream at an engine and a
+// validRecord is a record that keeps all promises: two nodes, a stream at an engine and a
 // call at a plain target, sent half a minute after configuration 1 and weights 1.
-func sound() Record {
+func validRecord() Record {
 	r := Record{
-		Bounds: DefaultBounds, Begun: begun, Now: at(60),
-		Configs: []Declared{{configAt(1), at(0), at(0)}},
-		Named:   []Named{{1, at(0)}},
+		Bounds: DefaultBounds, Start: startTime, Now: at(60),
+		Configs:   []ConfigWrite{{configAt(1), at(0), at(0)}},
+		Announced: []WeightsAnnouncement{{1, at(0)}},
 		Targets: []Target{
-			{ID: "e1", Service: engineName, Begun: begun, Weights: 1}, {ID: "e2", Service: engineName, Begun: begun, Weights: 1},
-			{ID: "p1", Service: plainName, Begun: begun},
+			{ID: "e1", Service: engineName, Started: startTime, Weights: 1}, {ID: "e2", Service: engineName, Started: startTime, Weights: 1},
+			{ID: "p1", Service: plainName, Started: startTime},
 		},
 	}
 	add(&r, Attempt{ID: "s.0", Call: "s", Kind: StreamCall, Path: "/stream/x", Key: openKey, Parts: "aa:1"}, 30, "e1")
@@ -38,12 +40,12 @@
 // add adds an attempt that node a was sent at a time and a target answered well.
 func add(r *Record, a Attempt, second float64, target string) {
 	a.Node, a.Boot, a.Kept, a.Sent, a.Done = "a", 1, true, at(second), at(second+0.3)
-	a.Status, a.Seal, a.AnswerID, a.Answer = http.StatusOK, platformtest.Seal(a.ID), a.ID, a.wanted()
+	a.Status, a.Seal, a.AnswerID, a.Answer = http.StatusOK, platformtest.Seal(a.ID), a.ID, a.expectedAnswer()
 	r.Attempts = append(r.Attempts, a)
 	service := map[byte]string{'e': engineName, 'p': plainName, 'z': spareName}[target[0]]
 	r.Runs = append(r.Runs, platformtest.Run{
 		ID: a.ID, Replica: target, Service: service, Method: http.MethodPost, URI: a.Path, Host: hostName, Body: a.Body,
-		Header: http.Header{"X-Prefix-Hash": {a.Parts}, "X-Tenant-Id": {handle(configAt(1), "/once/x", a.Key).organisation}}, Weights: 1, StartedAt: at(second + 0.1),
+		Header: http.Header{"X-Prefix-Hash": {a.Parts}, "X-Tenant-Id": {expectedOutcome(configAt(1), "/once/x", a.Key).organisation}}, Weights: 1, StartedAt: at(second + 0.1),
 	})
 }
 
@@ -52,28 +54,28 @@
 	return platformtest.ReceivedOrder{Replica: target, Holder: holder, Fence: fence, Version: weights, Status: http.StatusAccepted, Arrived: at(second), At: at(second)}
 }
 
-// trouble is a fault over a span of seconds.
-func trouble(scope Scope, kind Kind, subject string, from, until float64) Trouble {
-	return Trouble{Scope: scope, Kind: kind, Subject: subject, From: at(from), Until: at(until)}
+// injectedFault is a fault over a span of seconds.
+func injectedFault(scope Scope, kind Kind, subject string, from, until float64) InjectedFault {
+	return InjectedFault{Scope: scope, Kind: kind, Subject: subject, From: at(from), Until: at(until)}
 }
 
 // Every promise is seen to be broken by a record that breaks it and no other, and
 // what the promises excuse is excused.
-func TestJudge(t *testing.T) {
-	named := func(r *Record, second float64, more ...Trouble) {
-		r.Named = append(r.Named, Named{2, at(second)})
-		r.Troubles = more
+func TestVerify(t *testing.T) {
+	announced := func(r *Record, second float64, more ...InjectedFault) {
+		r.Announced = append(r.Announced, WeightsAnnouncement{2, at(second)})
+		r.Faults = more
 		r.Targets[1].Weights = 2
 	}
-	changed := func(r *Record, acked float64) {
-		r.Configs = append(r.Configs, Declared{configAt(2), at(acked), at(acked)})
+	reconfigured := func(r *Record, acked float64) {
+		r.Configs = append(r.Configs, ConfigWrite{configAt(2), at(acked), at(acked)})
 	}
-	cut := func(r *Record, more ...Trouble) {
+	cutByStop := func(r *Record, more ...InjectedFault) {
 		r.Attempts[1].Status, r.Attempts[1].Err = 0, "EOF"
-		r.Troubles = append(more, trouble(OfNode, Stop, "a", 29, 37))
+		r.Faults = append(more, injectedFault(OfNode, Stop, "a", 29, 37))
 	}
-	removed := Attempt{ID: "k.0", Call: "k", Kind: SafeCall, Path: "/safe/x", Key: keyOf(1)}
-	moved := Attempt{ID: "v.0", Call: "v", Kind: SafeCall, Path: movePath + "x", Key: openKey}
+	removed := Attempt{ID: "k.0", Call: "k", Kind: SafeCall, Path: "/safe/x", Key: versionKey(1)}
+	moved := Attempt{ID: "v.0", Call: "v", Kind: SafeCall, Path: movedPath + "x", Key: openKey}
 	deadly := func(r *Record, late int) {
 		for n := range 3 + late {
 			second := 20 + float64(n)/10
@@ -92,7 +94,7 @@
 		r.Attempts = append(r.Attempts, again)
 	}
 	// says has requests come to e1, so many a second from 20 s to 30 s, whose answers say something of it.
-	says := func(r *Record, perSecond int, header, value string, shed bool) {
+	sendHinted := func(r *Record, perSecond int, header, value string, shed bool) {
 		for n := range 10 * perSecond {
 			second := 20 + float64(n)/float64(perSecond)
 			id := fmt.Sprint("w.", n)
@@ -109,78 +111,78 @@
 		}
 	}
 	paused := func(r *Record, from, until float64) {
-		r.Troubles = append(r.Troubles, trouble(OfNode, Pause, "a", from, until))
+		r.Faults = append(r.Faults, injectedFault(OfNode, Pause, "a", from, until))
 	}
 	cases := map[string]struct {
 		change func(r *Record)
-		breaks Promise
+		breaks Guarantee
 	}{
-		"a target that says it leaves is used on": {func(r *Record) { says(r, 1, platformtest.HintDraining, "1", false) }, ToldLeaving},
-		"it is used by a node that was paused":    {func(r *Record) { says(r, 1, platformtest.HintDraining, "1", false); paused(r, 20.5, 30) }, ""},
-		"a limit is gone over":                    {func(r *Record) { says(r, 4, platformtest.HintLimit, "1", false) }, LimitKept},
-		"a limit is kept":                         {func(r *Record) { says(r, 4, platformtest.HintLimit, "4", false) }, ""},
-		"a limit is gone over after a pause":      {func(r *Record) { says(r, 4, platformtest.HintLimit, "1", false); paused(r, 20, 20.6) }, ""},
-		"a target gets no rest":                   {func(r *Record) { says(r, 2, platformtest.HintBackoff, "3", true) }, RestKept},
-		"a target gets its rest":                  {func(r *Record) { says(r, 2, platformtest.HintBackoff, "1", true) }, ""},
-		"a target gets no rest after a pause":     {func(r *Record) { says(r, 2, platformtest.HintBackoff, "3", true); paused(r, 20, 30) }, ""},
-		"a request that ends targets goes on":     {func(r *Record) { deadly(r, 4) }, HeldBack},
+		"a target that says it leaves is used on": {func(r *Record) { sendHinted(r, 1, platformtest.HintDraining, "1", false) }, DrainingHintFollowed},
+		"it is used by a node that was paused":    {func(r *Record) { sendHinted(r, 1, platformtest.HintDraining, "1", false); paused(r, 20.5, 30) }, ""},
+		"a limit is gone over":                    {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "1", false) }, LimitHintFollowed},
+		"a limit is kept":                         {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "4", false) }, ""},
+		"a limit is gone over after a pause":      {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "1", false); paused(r, 20, 20.6) }, ""},
+		"a target gets no rest":                   {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "3", true) }, BackoffHintFollowed},
+		"a target gets its rest":                  {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "1", true) }, ""},
+		"a target gets no rest after a pause":     {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "3", true); paused(r, 20, 30) }, ""},
+		"a request that ends targets goes on":     {func(r *Record) { deadly(r, 4) }, SuspectsHeld},
 		"a request that ends targets is known":    {func(r *Record) { deadly(r, 3) }, ""},
-		"a request that ends targets, by one cut": {func(r *Record) { deadly(r, 4); r.Troubles = []Trouble{trouble(OfNode, Pause, "a", 21, 26)} }, ""},
-		"an answered request is held back":        {func(r *Record) { refusedAgain(r, 33) }, HeldRightly},
+		"a request that ends targets, by one cut": {func(r *Record) { deadly(r, 4); r.Faults = []InjectedFault{injectedFault(OfNode, Pause, "a", 21, 26)} }, ""},
+		"an answered request is held back":        {func(r *Record) { refusedAgain(r, 33) }, AnsweredNotHeld},
 		"a request is held back before an answer": {func(r *Record) { refusedAgain(r, 31) }, ""},
 		"all is well":                             {func(*Record) {}, ""},
-		"an answer of another":                    {func(r *Record) { r.Attempts[1].AnswerID = "s.0" }, OwnAnswer},
-		"a half answer as whole":                  {func(r *Record) { r.Attempts[1].Answer = "the" }, OwnAnswer},
+		"an answer of another":                    {func(r *Record) { r.Attempts[1].AnswerID = "s.0" }, AnswerIntact},
+		"a half answer as whole":                  {func(r *Record) { r.Attempts[1].Answer = "the" }, AnswerIntact},
 		"a half answer with an error":             {func(r *Record) { r.Attempts[1].Answer, r.Attempts[1].Err = "the", "EOF" }, ""},
-		"an answer without a seal":                {func(r *Record) { r.Attempts[1].Seal = "" }, OwnAnswer},
+		"an answer without a seal":                {func(r *Record) { r.Attempts[1].Seal = "" }, AnswerIntact},
 		"a stream with a gap": {func(r *Record) {
 			r.Attempts[0].Answer = platformtest.Event("s.0", 2)
 			r.Attempts[0].Err = "EOF"
-		}, WholeStream},
-		"a run that nobody sent":   {func(r *Record) { r.Runs[2].ID = "x" }, AsSent},
-		"a changed body":           {func(r *Record) { r.Runs[2].Body = "x" }, AsSent},
-		"another organisation":     {func(r *Record) { r.Runs[2].Header.Set("X-Tenant-Id", walledOrg) }, AsSent},
-		"another service":          {func(r *Record) { r.Runs[2].Service = strangeName }, AsSent},
-		"parts of other weights":   {func(r *Record) { r.Runs[0].StaleParts = true }, OwnParts},
-		"a second run":             {func(r *Record) { r.Runs = append(r.Runs, r.Runs[1]) }, OnceOnly},
+		}, StreamIntact},
+		"a run that nobody sent":   {func(r *Record) { r.Runs[2].ID = "x" }, RequestUnaltered},
+		"a changed body":           {func(r *Record) { r.Runs[2].Body = "x" }, RequestUnaltered},
+		"another organisation":     {func(r *Record) { r.Runs[2].Header.Set("X-Tenant-Id", isolatedOrg) }, RequestUnaltered},
+		"another service":          {func(r *Record) { r.Runs[2].Service = foreignName }, RequestUnaltered},
+		"parts of other weights":   {func(r *Record) { r.Runs[0].StaleParts = true }, CacheIsolated},
+		"a second run":             {func(r *Record) { r.Runs = append(r.Runs, r.Runs[1]) }, AtMostOnce},
 		"a second run that may be": {func(r *Record) { r.Runs = append(r.Runs, r.Runs[2]) }, ""},
-		"a refusal that ran":       {func(r *Record) { r.Attempts[1].Status, r.Attempts[1].Seal = 503, "" }, TrueRefusal},
+		"a refusal that ran":       {func(r *Record) { r.Attempts[1].Status, r.Attempts[1].Seal = 503, "" }, RefusedNotRun},
 		"a refusal that may run":   {func(r *Record) { r.Attempts[2].Status, r.Attempts[2].Seal = 503, "" }, ""},
-		"a target that left":       {func(r *Record) { r.Targets[2].Leaving = at(28) }, LeftAlone},
-		"a target that leaves":     {func(r *Record) { r.Targets[2].Leaving = at(30.5) }, ""},
+		"a target that left":       {func(r *Record) { r.Targets[2].DrainingSince = at(28) }, NoWorkWhenDraining},
+		"a target that leaves":     {func(r *Record) { r.Targets[2].DrainingSince = at(30.5) }, ""},
 		"a target that left unheard": {func(r *Record) {
-			r.Targets[2].Leaving, r.Troubles = at(28), []Trouble{trouble(OfNode, Pause, "a", 28, 30)}
+			r.Targets[2].DrainingSince, r.Faults = at(28), []InjectedFault{injectedFault(OfNode, Pause, "a", 28, 30)}
 		}, ""},
 		"a removed route": {func(r *Record) {
 			add(r, moved, 40, "z1")
 			r.Runs[3].Service = spareName
-			changed(r, 35)
-		}, ConfigInTime},
+			reconfigured(r, 35)
+		}, ConfigApplied},
 		"a route just removed": {func(r *Record) {
 			add(r, moved, 40, "z1")
-			changed(r, 39)
+			reconfigured(r, 39)
 		}, ""},
 		"a removed route, cut off": {func(r *Record) {
 			add(r, moved, 40, "z1")
-			changed(r, 35)
-			r.Troubles = []Trouble{trouble(OfLink, StoreLink, "a", 34, 38)}
+			reconfigured(r, 35)
+			r.Faults = []InjectedFault{injectedFault(OfLink, StoreLink, "a", 34, 38)}
 		}, ""},
 		"back to an older version": {func(r *Record) {
 			add(r, moved, 40, "p1")
-			changed(r, 39)
+			reconfigured(r, 39)
 			again := moved
 			again.ID, again.Call = "w.0", "w"
 			add(r, again, 40.9, "z1")
-		}, NeverBack},
+		}, ConfigMonotonic},
 		"a removed key": {func(r *Record) {
 			add(r, removed, 50, "p1")
-			changed(r, 44)
-			r.Troubles = []Trouble{trouble(OfStore, StoreFails, "", 43, 60)}
-		}, KeysGone},
+			reconfigured(r, 44)
+			r.Faults = []InjectedFault{injectedFault(OfStore, StoreFails, "", 43, 60)}
+		}, KeysRevoked},
 		"a key just removed": {func(r *Record) {
 			add(r, removed, 48, "p1")
-			changed(r, 44)
-			r.Troubles = []Trouble{trouble(OfStore, StoreFails, "", 43, 60)}
+			reconfigured(r, 44)
+			r.Faults = []InjectedFault{injectedFault(OfStore, StoreFails, "", 43, 60)}
 		}, ""},
 		"proper requests denied": {func(r *Record) {
 			for range 8 {
@@ -188,80 +190,80 @@
 				a.ID, a.AnswerID, a.Status, a.Seal = "d", "", 403, ""
 				r.Attempts = append(r.Attempts, a)
 			}
-		}, FewDenied},
+		}, ValidAccepted},
 		"two holders with one fence": {func(r *Record) {
 			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 1, 2, 20), order("e2", "b", 1, 2, 30)}
-		}, OneHolder},
+		}, SingleLeaseHolder},
 		"a lower fence": {func(r *Record) {
 			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 2, 2, 20), order("e1", "b", 1, 3, 30)}
-		}, OneHolder},
+		}, SingleLeaseHolder},
 		"holders that take turns": {func(r *Record) {
 			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 1, 2, 20), order("e1", "b", 2, 3, 22)}
-		}, OneHolder},
+		}, SingleLeaseHolder},
 		"an older order after": {func(r *Record) {
 			r.Orders = []platformtest.ReceivedOrder{order("e1", "a", 1, 3, 20), order("e1", "a", 1, 2, 22)}
-		}, OneHolder},
+		}, SingleLeaseHolder},
 		"an order right after a pause": {func(r *Record) {
 			r.Orders = []platformtest.ReceivedOrder{order("e1", "b", 2, 2, 20), order("e1", "a", 1, 3, 22)}
-			r.Troubles = []Trouble{trouble(OfNode, Pause, "a", 10, 21.9)}
+			r.Faults = []InjectedFault{injectedFault(OfNode, Pause, "a", 10, 21.9)}
 		}, ""},
-		"old weights":                 {func(r *Record) { named(r, 19.5) }, WeightsBegin},
-		"weights just replaced":       {func(r *Record) { named(r, 20.5) }, ""},
-		"old weights after a pause":   {func(r *Record) { named(r, 10, trouble(OfNode, Pause, "a", 20, 28)) }, ""},
-		"old weights long after it":   {func(r *Record) { named(r, 10, trouble(OfNode, Pause, "a", 20, 26)) }, WeightsBegin},
-		"old weights at another node": {func(r *Record) { named(r, 10, trouble(OfNode, Kill, "b", 20, 28)) }, WeightsBegin},
-		"old weights after a cut":     {func(r *Record) { named(r, 10, trouble(OfLink, StoreLink, "b", 20, 22)) }, ""},
+		"old weights":                 {func(r *Record) { announced(r, 19.5) }, WeightsCurrent},
+		"weights just replaced":       {func(r *Record) { announced(r, 20.5) }, ""},
+		"old weights after a pause":   {func(r *Record) { announced(r, 10, injectedFault(OfNode, Pause, "a", 20, 28)) }, ""},
+		"old weights long after it":   {func(r *Record) { announced(r, 10, injectedFault(OfNode, Pause, "a", 20, 26)) }, WeightsCurrent},
+		"old weights at another node": {func(r *Record) { announced(r, 10, injectedFault(OfNode, Kill, "b", 20, 28)) }, WeightsCurrent},
+		"old weights after a cut":     {func(r *Record) { announced(r, 10, injectedFault(OfLink, StoreLink, "b", 20, 22)) }, ""},
 		"a pool with old weights": {func(r *Record) {
-			r.Named = append(r.Named, Named{2, at(40)})
-			r.Troubles = []Trouble{trouble(OfOrders, OrdersLate, "e1", 40, 60)}
-		}, WeightsAll},
+			r.Announced = append(r.Announced, WeightsAnnouncement{2, at(40)})
+			r.Faults = []InjectedFault{injectedFault(OfOrders, OrdersLate, "e1", 40, 60)}
+		}, WeightsConverge},
 		"a pool in time": {func(r *Record) {
-			r.Named = append(r.Named, Named{2, at(40)})
-			r.Troubles = []Trouble{trouble(OfLink, StoreLink, "b", 45, 52)}
+			r.Announced = append(r.Announced, WeightsAnnouncement{2, at(40)})
+			r.Faults = []InjectedFault{injectedFault(OfLink, StoreLink, "b", 45, 52)}
 		}, ""},
-		"a stop that cuts":          {func(r *Record) { cut(r) }, StopsCutNone},
-		"a stop and a kill":         {func(r *Record) { cut(r, trouble(OfNode, Kill, "a", 31, 32)) }, ""},
-		"a stop and a crash":        {func(r *Record) { cut(r, trouble(OfTarget, TargetCrash, "p1", 31, 32)) }, ""},
-		"a stop and another crash":  {func(r *Record) { cut(r, trouble(OfTarget, TargetCrash, "e1", 31, 32)) }, StopsCutNone},
-		"a stop cut its own stream": {func(r *Record) { cut(r); r.Attempts[1].Left = true }, ""},
+		"a stop that cuts":          {func(r *Record) { cutByStop(r) }, PlannedStopClean},
+		"a stop and a kill":         {func(r *Record) { cutByStop(r, injectedFault(OfNode, Kill, "a", 31, 32)) }, ""},
+		"a stop and a crash":        {func(r *Record) { cutByStop(r, injectedFault(OfTarget, TargetCrash, "p1", 31, 32)) }, ""},
+		"a stop and another crash":  {func(r *Record) { cutByStop(r, injectedFault(OfTarget, TargetCrash, "e1", 31, 32)) }, PlannedStopClean},
+		"a stop cut its own stream": {func(r *Record) { cutByStop(r); r.Attempts[1].Left = true }, ""},
 		"lost on kept connections": {func(r *Record) {
 			for _, id := range []string{"1", "2", "3", "4"} {
 				add(r, Attempt{ID: id, Call: id, Kind: SafeCall, Path: "/safe/x", Key: openKey}, 40, "p1")
 				a := &r.Attempts[len(r.Attempts)-1]
 				a.Status, a.Err = 0, "EOF"
 			}
-		}, KeptAnswered},
+		}, KeepAliveAnswered},
 		"answers long after the route's time": {func(r *Record) {
 			for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
 				add(r, Attempt{ID: id, Call: id, Kind: SafeCall, Path: "/safe/x", Key: openKey}, 40, "p1")
 				r.Attempts[len(r.Attempts)-1].Done = at(44)
 			}
-		}, AnswersInTime},
-		"no service at the end": {func(r *Record) { r.Calm, r.Over = at(40), true }, BackInTime},
-		"a process that ended":  {func(r *Record) { r.Ends = []Trouble{{Subject: "a", From: at(3)}} }, Runs},
+		}, AnswersTimely},
+		"no service at the end": {func(r *Record) { r.FaultsEnded, r.Finished = at(40), true }, ServiceRecovers},
+		"a process that ended":  {func(r *Record) { r.Exits = []InjectedFault{{Subject: "a", From: at(3)}} }, NoUnexpectedExit},
 		"sent too often": {func(r *Record) {
 			for _, id := range []string{"1", "2", "3", "4"} {
 				add(r, Attempt{ID: id, Call: id, Kind: SafeCall, Path: "/safe/x", Key: openKey}, 40, "p1")
 				last := r.Runs[len(r.Runs)-1]
 				r.Runs = append(r.Runs, last, last)
 			}
-		}, FewSends},
+		}, AttemptsBounded},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := sound()
+			r := validRecord()
 			c.change(&r)
-			var broken []Promise
-			for _, b := range Judge(r) {
-				broken = append(broken, b.Promise)
+			var broken []Guarantee
+			for _, b := range Verify(r) {
+				broken = append(broken, b.Guarantee)
 			}
 			if c.breaks == "" {
-				require.Empty(t, broken, "%v", Judge(r))
+				require.Empty(t, broken, "%v", Verify(r))
 				return
 			}
 			require.NotEmpty(t, broken)
 			for _, p := range broken {
-				require.Equal(t, c.breaks, p, "%v", Judge(r))
+				require.Equal(t, c.breaks, p, "%v", Verify(r))
 			}
 		})
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -21,16 +21,16 @@
 type node struct {
 	name string
 	// program is the file of pathhead-node, dir the folder for settings and logs.
-	program string
-	dir     string
-	set     platformtest.Settings
+	program  string
+	dir      string
+	settings platformtest.Settings
 	// door is the node's own at the store, link the proxy before it.
 	door *platformtest.Endpoint
 	link *Proxy
 
-	mu   sync.Mutex
-	proc *process
-	boot int
+	mu      sync.Mutex
+	current *process
+	boot    int
 }
 
 // process is one start of a node.
@@ -40,7 +40,7 @@
 	// ended is closed once the process is gone.
 	ended chan struct{}
 	// wanted says that the soak ends it.
-	wanted bool
+	expected bool
 }
 
 // settingsFile is the node's settings file.
@@ -48,16 +48,16 @@
 
 // writeSettings writes the node's settings with the seeds as they are now.
 func (n *node) writeSettings(seeds []netip.AddrPort) error {
-	n.set.Seeds = seeds
-	return errs.Wrap(os.WriteFile(n.settingsFile(), []byte(n.set.TOML()), 0o600))
+	n.settings.Seeds = seeds
+	return errs.Wrap(os.WriteFile(n.settingsFile(), []byte(n.settings.TOML()), 0o600))
 }
 
 // start starts the node's process unless one runs. Its output goes to a file of its
 // own; ended hears of an end that the soak did not bring about.
-func (n *node) start(ended func(n *node, state string)) error {
+func (n *node) start(onExit func(n *node, state string)) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.proc != nil {
+	if n.current != nil {
 		return nil
 	}
 	n.boot++
@@ -67,24 +67,24 @@
 	}
 	defer out.Close()
 	p := &process{boot: n.boot, ended: make(chan struct{})}
-	p.cmd = exec.Command(n.program, fmt.Sprintf("--metrics-port=%d", n.set.Metrics), "--log-format=json")
+	p.cmd = exec.Command(n.program, fmt.Sprintf("--metrics-port=%d", n.settings.Metrics), "--log-format=json")
 	p.cmd.Env = append(os.Environ(), "PATHHEAD_CONFIG="+n.settingsFile())
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	if err := p.cmd.Start(); err != nil {
 		return errs.Errorf("starting %s: %w", n.name, err)
 	}
-	n.proc = p
+	n.current = p
 	go func() {
 		// How it ended is read from its state.
 		_ = p.cmd.Wait()
 		n.mu.Lock()
-		wanted := p.wanted
-		if n.proc == p {
-			n.proc = nil
+		expected := p.expected
+		if n.current == p {
+			n.current = nil
 		}
 		n.mu.Unlock()
-		if code := p.cmd.ProcessState.ExitCode(); !wanted || code > 0 {
-			ended(n, p.cmd.ProcessState.String())
+		if code := p.cmd.ProcessState.ExitCode(); !expected || code > 0 {
+			onExit(n, p.cmd.ProcessState.String())
 		}
 		close(p.ended)
 	}()
@@ -95,13 +95,13 @@
 func (n *node) running() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.proc
+	return n.current
 }
 
 // signal sends the process a signal by its id; wanted says that it is to end by it.
-func (n *node) signal(p *process, s syscall.Signal, wanted bool) {
+func (n *node) signal(p *process, s syscall.Signal, expected bool) {
 	n.mu.Lock()
-	p.wanted = p.wanted || wanted
+	p.expected = p.expected || expected
 	n.mu.Unlock()
 	// A process that has ended takes none.
 	_ = p.cmd.Process.Signal(s)
@@ -113,14 +113,14 @@
 	<-p.ended
 }
 
-// readyTime bounds the balancer's question.
-const readyTime = time.Second
+// readyTimeout bounds the balancer's question.
+const readyTimeout = time.Second
 
 // ready asks the node as the balancer does.
 func (n *node) ready(ctx context.Context, c *http.Client) bool {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.set.Readiness.String()+"/-/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.settings.Readiness.String()+"/-/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -132,7 +132,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// client returns the balancer's client, which asks over a new connection each time.
-func client() *http.Client {
+// probeClient returns the balancer's client, which asks over a new connection each time.
+func probeClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,26 +10,26 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Link is how a proxy passes bytes on.
-type Link string
+// LinkState is how a proxy passes bytes on.
+type LinkState string
 
 // The states of a link. Silence and Reset hit the connections that are open and
 // leave new ones alone; the others hold until the link is mended.
 const (
-	Passing Link = "passing"
-	Delayed Link = "delayed"
+	Passing LinkState = "passing"
+	Delayed LinkState = "delayed"
 	// CutUp holds what callers send, CutDown what they are answered, as a
 	// partition does: it comes once the link is mended.
-	CutUp   Link = "cut-up"
-	CutDown Link = "cut-down"
-	// Silence passes nothing on any more and resets nothing.
-	Silence Link = "silence"
-	Reset   Link = "reset"
+	CutUp   LinkState = "cut-up"
+	CutDown LinkState = "cut-down"
+	// Stall passes nothing on any more and resets nothing.
+	Stall LinkState = "silence"
+	Reset LinkState = "reset"
 )
 
-// delayTime is by how much a delayed link holds each piece up. It stays under the
+// linkDelay is by how much a delayed link holds each piece up. It stays under the
 // guard of 300 ms that a node leaves between its lease and its last order.
-const delayTime = 120 * time.Millisecond
+const linkDelay = 120 * time.Millisecond
 
 // Proxy stands before an address and passes connections on.
 type Proxy struct {
@@ -39,21 +39,21 @@
 	mu      sync.Mutex
 	target  netip.AddrPort
 	lis     net.Listener
-	link    Link
+	link    LinkState
 	changed chan struct{}
-	pairs   map[*pair]bool
+	conns   map[*proxiedConn]bool
 }
 
-// pair is one connection through a proxy.
-type pair struct {
-	near, far net.Conn
+// proxiedConn is one connection through a proxy.
+type proxiedConn struct {
+	downstream, upstream net.Conn
 	// mute is closed when the pair falls silent.
-	mute chan struct{}
+	stalled chan struct{}
 }
 
 // close ends both connections; a reset drops what they still hold.
-func (p *pair) close(reset bool) {
-	for _, c := range []net.Conn{p.near, p.far} {
+func (p *proxiedConn) close(reset bool) {
+	for _, c := range []net.Conn{p.downstream, p.upstream} {
 		if tcp, ok := c.(*net.TCPConn); ok && reset {
 			// It fails only on a connection that is closed already.
 			_ = tcp.SetLinger(0)
@@ -64,11 +64,11 @@
 
 // NewProxy returns a proxy at an address that leads nowhere yet.
 func NewProxy(addr netip.AddrPort) *Proxy {
-	return &Proxy{Addr: addr, link: Passing, changed: make(chan struct{}), pairs: make(map[*pair]bool)}
+	return &Proxy{Addr: addr, link: Passing, changed: make(chan struct{}), conns: make(map[*proxiedConn]bool)}
 }
 
-// Point leads new connections to a target.
-func (p *Proxy) Point(target netip.AddrPort) error {
+// SetTarget leads new connections to a target.
+func (p *Proxy) SetTarget(target netip.AddrPort) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
@@ -92,17 +92,17 @@
 		p.lis = nil
 	}
 	p.mu.Unlock()
-	p.hit(func(c *pair) { c.close(true) })
+	p.forEachConn(func(c *proxiedConn) { c.close(true) })
 }
 
-// Set puts the link in a state.
-func (p *Proxy) Set(link Link) {
+// SetState puts the link in a state.
+func (p *Proxy) SetState(link LinkState) {
 	switch link {
 	case Reset:
-		p.hit(func(c *pair) { c.close(true) })
+		p.forEachConn(func(c *proxiedConn) { c.close(true) })
 		return
-	case Silence:
-		p.hit(func(c *pair) { close(c.mute) })
+	case Stall:
+		p.forEachConn(func(c *proxiedConn) { close(c.stalled) })
 		return
 	case Passing, Delayed, CutUp, CutDown:
 	}
@@ -113,59 +113,59 @@
 	p.changed = make(chan struct{})
 }
 
-// hit does something to all pairs that are open and not silent, which count no longer as such.
-func (p *Proxy) hit(do func(*pair)) {
+// forEachConn does something to all pairs that are open and not silent, which count no longer as such.
+func (p *Proxy) forEachConn(do func(*proxiedConn)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
+	for c := range p.conns {
 		do(c)
 	}
-	clear(p.pairs)
+	clear(p.conns)
 }
 
 func (p *Proxy) accept(lis net.Listener) {
 	for {
-		near, err := lis.Accept()
+		conn, err := lis.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(conn)
 	}
 }
 
 // serve passes one connection on.
-func (p *Proxy) serve(near net.Conn) {
+func (p *Proxy) serve(downstream net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
-	far, err := net.Dial("tcp4", target.String())
+	upstream, err := net.Dial("tcp4", target.String())
 	if err != nil {
-		(&pair{near: near, far: near}).close(true)
+		(&proxiedConn{downstream: downstream, upstream: downstream}).close(true)
 		return
 	}
-	c := &pair{near: near, far: far, mute: make(chan struct{})}
+	c := &proxiedConn{downstream: downstream, upstream: upstream, stalled: make(chan struct{})}
 	p.mu.Lock()
-	p.pairs[c] = true
+	p.conns[c] = true
 	p.mu.Unlock()
 	var copies sync.WaitGroup
-	copies.Go(func() { p.copy(c, far, near, CutUp) })
-	copies.Go(func() { p.copy(c, near, far, CutDown) })
+	copies.Go(func() { p.forward(c, upstream, downstream, CutUp) })
+	copies.Go(func() { p.forward(c, downstream, upstream, CutDown) })
 	copies.Wait()
 	p.mu.Lock()
-	delete(p.pairs, c)
+	delete(p.conns, c)
 	p.mu.Unlock()
 	c.close(false)
 }
 
-// pieceBytes is the most that a proxy passes on at once.
-const pieceBytes = 32 << 10
+// maxChunkBytes is the most that a proxy passes on at once.
+const maxChunkBytes = 32 << 10
 
-// copy passes one direction on, and its end.
-func (p *Proxy) copy(c *pair, to, from net.Conn, cut Link) {
-	buf := make([]byte, pieceBytes)
+// forward passes one direction on, and its end.
+func (p *Proxy) forward(c *proxiedConn, to, from net.Conn, cut LinkState) {
+	buf := make([]byte, maxChunkBytes)
 	for {
 		n, err := from.Read(buf)
-		if !p.pass(c, cut) {
+		if !p.waitToForward(c, cut) {
 			// Each side of a silent connection sees its own end only.
 			_, _ = io.Copy(io.Discard, from)
 			return
@@ -177,14 +177,14 @@
 			}
 		}
 		if err != nil {
-			p.end(c, to, err)
+			p.forwardClose(c, to, err)
 			return
 		}
 	}
 }
 
-// end passes on that one side has closed or reset the connection.
-func (p *Proxy) end(c *pair, to net.Conn, err error) {
+// forwardClose passes on that one side has closed or reset the connection.
+func (p *Proxy) forwardClose(c *proxiedConn, to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if !ok || err != io.EOF {
 		c.close(true)
@@ -194,8 +194,8 @@
 	_ = tcp.CloseWrite()
 }
 
-// pass waits until the link passes a piece on; it is false if the pair is silent.
-func (p *Proxy) pass(c *pair, cut Link) bool {
+// waitToForward waits until the link passes a piece on; it is false if the pair is silent.
+func (p *Proxy) waitToForward(c *proxiedConn, cut LinkState) bool {
 	delayed := false
 	for {
 		p.mu.Lock()
@@ -204,10 +204,10 @@
 		var wait <-chan time.Time
 		switch {
 		case link == Delayed && !delayed:
-			wait, delayed = time.After(delayTime), true
+			wait, delayed = time.After(linkDelay), true
 		case link != cut:
 			select {
-			case <-c.mute:
+			case <-c.stalled:
 				return false
 			default:
 				return true
@@ -216,7 +216,7 @@
 		select {
 		case <-wait:
 		case <-changed:
-		case <-c.mute:
+		case <-c.stalled:
 			return false
 		}
 	}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each line with the same line, and returns a proxy before it.
-func echo(t *testing.T) *Proxy {
+// echoProxy answers each line with the same line, and returns a proxy before it.
+func echoProxy(t *testing.T) *Proxy {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { lis.Close() })
@@ -36,11 +36,11 @@
 			}()
 		}
 	}()
-	free, err := newAddresses()
+	free, err := newAddressPool()
 	require.NoError(t, err)
 	t.Cleanup(func() { free.guard.Close() })
 	p := NewProxy(free.next())
-	require.NoError(t, p.Point(lis.Addr().(*net.TCPAddr).AddrPort()))
+	require.NoError(t, p.SetTarget(lis.Addr().(*net.TCPAddr).AddrPort()))
 	t.Cleanup(p.Close)
 	return p
 }
@@ -58,15 +58,15 @@
 	return &lineConn{c, bufio.NewReader(c)}
 }
 
-// says sends a line and reports what becomes of it within a time.
-func (c *lineConn) says(d time.Duration) error {
+// roundTrip sends a line and reports what becomes of it within a time.
+func (c *lineConn) roundTrip(d time.Duration) error {
 	if _, err := c.Write([]byte("hello\n")); err != nil {
 		return err
 	}
-	return c.hears(d)
+	return c.readLine(d)
 }
 
-func (c *lineConn) hears(d time.Duration) error {
+func (c *lineConn) readLine(d time.Duration) error {
 	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
 		return err
 	}
@@ -77,33 +77,33 @@
 // The times of these tests: what comes at all comes within long, and what is held is
 // not there after short.
 const (
-	short = 50 * time.Millisecond
-	long  = 10 * time.Second
+	stallWait    = 50 * time.Millisecond
+	replyTimeout = 10 * time.Second
 )
 
 // What is held by a cut comes once the link is mended; what falls silent does so for
 // good and is not reset, while new connections work.
 func TestProxy(t *testing.T) {
-	p := echo(t)
+	p := echoProxy(t)
 	c := connect(t, p.Addr)
-	require.NoError(t, c.says(long))
-	for _, cut := range []Link{CutUp, CutDown, Delayed} {
-		p.Set(cut)
+	require.NoError(t, c.roundTrip(replyTimeout))
+	for _, cut := range []LinkState{CutUp, CutDown, Delayed} {
+		p.SetState(cut)
 		var timeout net.Error
-		require.ErrorAs(t, c.says(short), &timeout, cut)
+		require.ErrorAs(t, c.roundTrip(stallWait), &timeout, cut)
 		require.True(t, timeout.Timeout(), cut)
-		p.Set(Passing)
-		require.NoError(t, c.hears(long), cut)
+		p.SetState(Passing)
+		require.NoError(t, c.readLine(replyTimeout), cut)
 	}
-	p.Set(Silence)
+	p.SetState(Stall)
 	var timeout net.Error
-	require.ErrorAs(t, c.says(short), &timeout)
+	require.ErrorAs(t, c.roundTrip(stallWait), &timeout)
 	require.True(t, timeout.Timeout())
-	fresh := connect(t, p.Addr)
-	require.NoError(t, fresh.says(long))
-	p.Set(Reset)
-	require.Error(t, fresh.says(long))
-	require.ErrorAs(t, c.hears(short), &timeout, "a reset leaves the silent connection alone")
+	second := connect(t, p.Addr)
+	require.NoError(t, second.roundTrip(replyTimeout))
+	p.SetState(Reset)
+	require.Error(t, second.roundTrip(replyTimeout))
+	require.ErrorAs(t, c.readLine(stallWait), &timeout, "a reset leaves the silent connection alone")
 	require.True(t, timeout.Timeout())
 	p.Close()
 	_, err := net.Dial("tcp4", p.Addr.String())
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -22,8 +22,8 @@
 	OfPlan Scope = "plan"
 )
 
-// Trouble is a fault as it was injected.
-type Trouble struct {
+// InjectedFault is a fault as it was injected.
+type InjectedFault struct {
 	Scope Scope
 	Kind  Kind
 	// Subject is the node or target, empty for all.
@@ -35,7 +35,7 @@
 }
 
 // end returns when the trouble ended, or now while it holds.
-func (t Trouble) end(now time.Time) time.Time {
+func (t InjectedFault) end(now time.Time) time.Time {
 	if t.Until.IsZero() {
 		return now
 	}
@@ -83,21 +83,21 @@
 	SafeCall   CallKind = "safe"
 )
 
-// once reports whether calls of the kind may run only once.
-func (k CallKind) once() bool { return k == StreamCall || k == OnceCall }
+// atMostOnce reports whether calls of the kind may run only once.
+func (k CallKind) atMostOnce() bool { return k == StreamCall || k == OnceCall }
 
 // streams reports whether calls of the kind are answered by a stream.
 func (k CallKind) streams() bool { return k == StreamCall || k == ResumeCall }
 
-// Declared is a configuration that the operator wrote, and when it was acknowledged.
-type Declared struct {
+// ConfigWrite is a configuration that the operator wrote, and when it was acknowledged.
+type ConfigWrite struct {
 	Config platformtest.Config
 	Sent   time.Time
 	Acked  time.Time
 }
 
-// Named is a naming of weights.
-type Named struct {
+// WeightsAnnouncement is a naming of weights.
+type WeightsAnnouncement struct {
 	Weights int64
 	Acked   time.Time
 }
@@ -106,10 +106,10 @@
 type Target struct {
 	ID      string
 	Service string
-	Begun   time.Time
+	Started time.Time
 	// Leaving is when it said that it leaves, or was taken off the list; Ended when it ended.
-	Leaving time.Time
-	Ended   time.Time
+	DrainingSince time.Time
+	Ended         time.Time
 	// Weights are those that it has now.
 	Weights int64
 }
@@ -117,22 +117,22 @@
 // Record is all that a soak saw.
 type Record struct {
 	Bounds   Bounds
-	Begun    time.Time
+	Start    time.Time
 	Attempts []Attempt
 	Runs     []platformtest.Run
 	Orders   []platformtest.ReceivedOrder
 	// Arrivals are the requests that came to targets, in their order.
-	Arrivals []platformtest.Arrival
-	Configs  []Declared
-	Named    []Named
-	Targets  []Target
-	Troubles []Trouble
+	Arrivals  []platformtest.Arrival
+	Configs   []ConfigWrite
+	Announced []WeightsAnnouncement
+	Targets   []Target
+	Faults    []InjectedFault
 	// Ends are processes that ended by themselves.
-	Ends []Trouble
+	Exits []InjectedFault
 	// Calm is when the last trouble had ended, zero before.
-	Calm time.Time
+	FaultsEnded time.Time
 	// Over says that no more requests come.
-	Over bool
+	Finished bool
 	// Now is when the record was taken.
 	Now time.Time
 }
@@ -144,15 +144,15 @@
 	AllWeights time.Duration
 	// Back is how long after its effect was seen a process may still answer by an
 	// older configuration.
-	Back time.Duration
+	StaleConfig time.Duration
 	// Thaw is how long after a pause or cut orders don't count.
-	Thaw time.Duration
+	OrderGrace time.Duration
 	// Loss is how long a request may cross the close of its connection.
-	Loss time.Duration
+	CloseRace time.Duration
 	// Recovery is within how much time after the last trouble calls are served again.
 	Recovery time.Duration
 	// Answer is how long after a route's time an answer may come.
-	Answer time.Duration
+	AnswerSlack time.Duration
 }
 
 // DefaultBounds are those of the users' installations.
@@ -162,36 +162,36 @@
 		Lease: 3 * time.Second, Weights: 10 * time.Second, Contact: 3 * time.Second,
 		RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 52,
 	},
-	AllWeights: 14 * time.Second, Back: 250 * time.Millisecond,
-	Thaw: 300 * time.Millisecond, Loss: 200 * time.Millisecond, Recovery: 12 * time.Second,
-	Answer: 500 * time.Millisecond,
+	AllWeights: 14 * time.Second, StaleConfig: 250 * time.Millisecond,
+	OrderGrace: 300 * time.Millisecond, CloseRace: 200 * time.Millisecond, Recovery: 12 * time.Second,
+	AnswerSlack: 500 * time.Millisecond,
 }
 
-// book takes a record while the soak runs.
-type book struct {
+// recorder takes a record while the soak runs.
+type recorder struct {
 	mu  sync.Mutex
 	rec Record
 }
 
-// write changes the record.
-func (b *book) write(change func(r *Record)) {
+// update changes the record.
+func (b *recorder) update(change func(r *Record)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.rec)
 }
 
-// begin notes a trouble that holds until the function that is returned is called.
-func (b *book) begin(t Trouble) (end func()) {
+// beginFault notes a trouble that holds until the function that is returned is called.
+func (b *recorder) beginFault(t InjectedFault) (end func()) {
 	t.From = time.Now()
-	place := 0
-	b.write(func(r *Record) {
-		place = len(r.Troubles)
-		r.Troubles = append(r.Troubles, t)
+	index := 0
+	b.update(func(r *Record) {
+		index = len(r.Faults)
+		r.Faults = append(r.Faults, t)
 	})
 	return func() {
-		b.write(func(r *Record) { r.Troubles[place].Until = time.Now() })
+		b.update(func(r *Record) { r.Faults[index].Until = time.Now() })
 	}
 }
 
-// note notes what happens at one moment.
-func (b *book) note(t Trouble) { b.begin(t)() }
+// recordFault notes what happens at one moment.
+func (b *recorder) recordFault(t InjectedFault) { b.beginFault(t)() }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -21,10 +21,10 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// keep leaves the plan, the report, the time line and the joined logs of a run that
+// saveArtifacts leaves the plan, the report, the time line and the joined logs of a run that
 // failed in its folder, and removes the folder of one that did not.
-func (s *Soak) keep(res *Result) error {
-	if len(res.Breaches) == 0 {
+func (s *Soak) saveArtifacts(res *Result) error {
+	if len(res.Violations) == 0 {
 		err := os.RemoveAll(res.Dir)
 		res.Dir = ""
 		return errs.Wrap(err)
@@ -43,11 +43,11 @@
 	if err := res.plot(filepath.Join(res.Dir, "timeline.svg")); err != nil {
 		return err
 	}
-	return res.join()
+	return res.writeJoinedLog()
 }
 
-// listMost is how many breaches of one promise a report lists.
-const listMost = 5
+// maxListed is how many breaches of one promise a report lists.
+const maxListed = 5
 
 // Write writes the report of a run.
 func (res Result) Write(w io.Writer) {
@@ -60,20 +60,20 @@
 		switch {
 		case a.Status == 200 && a.Err == "":
 			served++
-		case a.promised():
+		case a.refusedNotRun():
 			refused++
 		}
 	}
 	verdict := "kept"
-	if len(res.Breaches) > 0 {
+	if len(res.Violations) > 0 {
 		verdict = "BROKEN"
 	}
 	fmt.Fprintf(w, "seed %d: %s; %d steps %v; %d requests, %d served, %d refused as not run, %d runs, %d orders\n",
 		res.Plan.Seed, verdict, len(res.Plan.Steps), kinds, len(res.Record.Attempts), served, refused, len(res.Record.Runs), len(res.Record.Orders))
-	count := make(map[Promise]int)
-	for _, b := range res.Breaches {
-		if count[b.Promise]++; count[b.Promise] <= listMost {
-			fmt.Fprintf(w, "  %8.3f  %s: %s: %s\n", b.At.Sub(res.Record.Begun).Seconds(), b.Promise, b.Subject, b.Detail)
+	count := make(map[Guarantee]int)
+	for _, b := range res.Violations {
+		if count[b.Guarantee]++; count[b.Guarantee] <= maxListed {
+			fmt.Fprintf(w, "  %8.3f  %s: %s: %s\n", b.At.Sub(res.Record.Start).Seconds(), b.Guarantee, b.Subject, b.Detail)
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(count)) {
@@ -84,29 +84,29 @@
 	}
 }
 
-// entry is a line of the joined log.
-type entry struct {
+// logLine is a line of the joined log.
+type logLine struct {
 	at   time.Time
 	text string
 }
 
-// join writes the logs of all processes, the faults and the breaches in the order of time.
-func (res Result) join() error {
-	var all []entry
+// writeJoinedLog writes the logs of all processes, the faults and the breaches in the order of time.
+func (res Result) writeJoinedLog() error {
+	var all []logLine
 	add := func(at time.Time, format string, args ...any) {
-		all = append(all, entry{at, fmt.Sprintf(format, args...)})
+		all = append(all, logLine{at, fmt.Sprintf(format, args...)})
 	}
-	for _, t := range res.Record.Troubles {
+	for _, t := range res.Record.Faults {
 		add(t.From, "FAULT %s %s %s %s", t.Scope, t.Kind, t.Subject, t.Detail)
 		if t.Until.After(t.From) {
 			add(t.Until, "FAULT ends: %s %s %s", t.Scope, t.Kind, t.Subject)
 		}
 	}
-	for _, b := range res.Breaches {
-		add(b.At, "BROKEN %s: %s: %s", b.Promise, b.Subject, b.Detail)
+	for _, b := range res.Violations {
+		add(b.At, "BROKEN %s: %s: %s", b.Guarantee, b.Subject, b.Detail)
 	}
 	for _, o := range res.Record.Orders {
-		add(o.Arrived, "ORDER to %s: weights %d by %s, fence %d: %d at %s", o.Replica, o.Version, o.Holder, o.Fence, o.Status, o.At.Sub(res.Record.Begun))
+		add(o.Arrived, "ORDER to %s: weights %d by %s, fence %d: %d at %s", o.Replica, o.Version, o.Holder, o.Fence, o.Status, o.At.Sub(res.Record.Start))
 	}
 	files, err := filepath.Glob(filepath.Join(res.Dir, "*.log"))
 	if err != nil {
@@ -119,7 +119,7 @@
 		}
 		all = append(all, lines...)
 	}
-	slices.SortStableFunc(all, func(a, b entry) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(all, func(a, b logLine) int { return a.at.Compare(b.at) })
 	f, err := os.Create(filepath.Join(res.Dir, "joined.txt"))
 	if err != nil {
 		return errs.Wrap(err)
@@ -127,18 +127,18 @@
 	defer f.Close()
 	w := bufio.NewWriter(f)
 	for _, e := range all {
-		fmt.Fprintf(w, "%9.3f %s\n", e.at.Sub(res.Record.Begun).Seconds(), e.text)
+		fmt.Fprintf(w, "%9.3f %s\n", e.at.Sub(res.Record.Start).Seconds(), e.text)
 	}
 	return errs.Wrap(w.Flush())
 }
 
 // readLog reads a process's log; a line without a time stands after the one before it.
-func readLog(name string) ([]entry, error) {
+func readLog(name string) ([]logLine, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	var out []entry
+	var out []logLine
 	var at time.Time
 	process := strings.TrimSuffix(filepath.Base(name), ".log")
 	for line := range strings.Lines(string(data)) {
@@ -147,16 +147,16 @@
 		if n, err := strconv.ParseInt(nanos, 10, 64); err == nil {
 			at = time.Unix(0, n)
 		}
-		out = append(out, entry{at, process + " " + strings.TrimSpace(line)})
+		out = append(out, logLine{at, process + " " + strings.TrimSpace(line)})
 	}
 	return out, nil
 }
 
 // The size of a time line.
 const (
-	plotWidth = 12 * vg.Inch
-	plotRow   = 0.3 * vg.Inch
-	plotEdge  = 1.5 * vg.Inch
+	plotWidth     = 12 * vg.Inch
+	plotRowHeight = 0.3 * vg.Inch
+	plotMargin    = 1.5 * vg.Inch
 )
 
 // plot draws the faults as bars over time, a row for each kind, with the breaches as
@@ -174,8 +174,8 @@
 		}
 		return float64(at)
 	}
-	second := func(t time.Time) float64 { return t.Sub(res.Record.Begun).Seconds() }
-	for _, t := range res.Record.Troubles {
+	second := func(t time.Time) float64 { return t.Sub(res.Record.Start).Seconds() }
+	for _, t := range res.Record.Faults {
 		y := row(string(t.Kind))
 		line, err := plotter.NewLine(plotter.XYs{{X: second(t.From), Y: y}, {X: second(t.end(res.Record.Now)) + 0.05, Y: y}})
 		if err != nil {
@@ -185,8 +185,8 @@
 		p.Add(line)
 	}
 	var points plotter.XYs
-	for _, b := range res.Breaches {
-		points = append(points, plotter.XY{X: second(b.At), Y: row(string(b.Promise))})
+	for _, b := range res.Violations {
+		points = append(points, plotter.XY{X: second(b.At), Y: row(string(b.Guarantee))})
 	}
 	crosses, err := plotter.NewScatter(points)
 	if err != nil {
@@ -195,5 +195,5 @@
 	crosses.Shape = draw.CrossGlyph{}
 	p.Add(crosses)
 	p.NominalY(rows...)
-	return errs.Wrap(p.Save(plotWidth, plotEdge+plotRow*vg.Length(len(rows)), file))
+	return errs.Wrap(p.Save(plotWidth, plotMargin+plotRowHeight*vg.Length(len(rows)), file))
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -22,9 +22,9 @@
 	engineName  = "engines"
 	plainName   = "plain"
 	spareName   = "spare"
-	strangeName = "strange"
-	// spares is the number of targets of the second plain service.
-	spares = 2
+	foreignName = "strange"
+	// spareTargets is the number of targets of the second plain service.
+	spareTargets = 2
 )
 
 // The times of the stand-ins.
@@ -35,8 +35,8 @@
 	// streamEvents and eventGap make a stream last some 0.3 s.
 	streamEvents = 10
 	eventGap     = 30 * time.Millisecond
-	// againTime is after how long a process that ended by itself is started again.
-	againTime = 500 * time.Millisecond
+	// restartDelay is after how long a process that ended by itself is started again.
+	restartDelay = 500 * time.Millisecond
 )
 
 // slot is the place of a target, with the one that is there now.
@@ -44,16 +44,16 @@
 	proxy   *Proxy
 	replica *platformtest.Replica
 	// taken says that a step ends its target, which others leave alone meanwhile.
-	taken bool
+	claimed bool
 }
 
-// site is an installation with its nodes and stand-ins.
-type site struct {
-	book
+// cluster is an installation with its nodes and stand-ins.
+type cluster struct {
+	recorder
 	bounds  Bounds
 	dir     string
 	program string
-	free    *addresses
+	addrs   *addressPool
 	store   *platformtest.Store
 	runs    *platformtest.RunLog
 	// steps are the faults under way.
@@ -61,27 +61,27 @@
 
 	mu sync.Mutex
 	// held counts the faults that hold a door, a link or a process.
-	held    map[any]int
-	nodes   []*node
-	slots   []*slot
-	engines int
-	born    int
-	version int64
-	weights int64
-	over    bool
+	impairments map[any]int
+	nodes       []*node
+	slots       []*slot
+	engines     int
+	targetCount int
+	version     int64
+	weights     int64
+	closed      bool
 }
 
-// newSite starts the stand-ins and the nodes of an installation.
-func newSite(program, dir string, bounds Bounds, size Size) (*site, error) {
-	free, err := newAddresses()
+// newCluster starts the stand-ins and the nodes of an installation.
+func newCluster(program, dir string, bounds Bounds, size Size) (*cluster, error) {
+	free, err := newAddressPool()
 	if err != nil {
 		return nil, err
 	}
-	s := &site{
-		bounds: bounds, dir: dir, program: program, free: free, engines: size.Engines,
-		store: platformtest.NewStore(), runs: new(platformtest.RunLog), held: make(map[any]int),
+	s := &cluster{
+		bounds: bounds, dir: dir, program: program, addrs: free, engines: size.Engines,
+		store: platformtest.NewStore(), runs: new(platformtest.RunLog), impairments: make(map[any]int),
 	}
-	s.rec.Begun, s.rec.Bounds = time.Now(), bounds
+	s.rec.Start, s.rec.Bounds = time.Now(), bounds
 	if err := s.populate(size); err != nil {
 		s.close()
 		return nil, err
@@ -90,14 +90,14 @@
 }
 
 // populate starts the targets, in the order that steps count them in, and the nodes.
-func (s *site) populate(size Size) error {
-	if err := s.name(); err != nil {
+func (s *cluster) populate(size Size) error {
+	if err := s.announceWeights(); err != nil {
 		return err
 	}
-	if err := s.declare(); err != nil {
+	if err := s.writeConfig(); err != nil {
 		return err
 	}
-	for n := range size.Engines + size.Plain + spares {
+	for n := range size.Engines + size.Plain + spareTargets {
 		service := engineName
 		switch {
 		case n >= size.Engines+size.Plain:
@@ -123,9 +123,9 @@
 }
 
 // close ends all processes and stand-ins.
-func (s *site) close() {
+func (s *cluster) close() {
 	s.mu.Lock()
-	s.over = true
+	s.closed = true
 	s.mu.Unlock()
 	for _, n := range s.nodes {
 		if p := n.running(); p != nil {
@@ -138,12 +138,12 @@
 		sl.replica.Crash()
 	}
 	s.store.Close()
-	_ = s.free.guard.Close()
+	_ = s.addrs.guard.Close()
 }
 
-// addresses gives out addresses of one loopback IP number, which no other soak and
+// addressPool gives out addresses of one loopback IP number, which no other soak and
 // no outgoing connection uses: a port that was chosen can't be taken meanwhile.
-type addresses struct {
+type addressPool struct {
 	ip   netip.Addr
 	used atomic.Uint32
 	// guard listens at the first port, which keeps other soaks from the number.
@@ -160,94 +160,94 @@
 	firstPort = 8000
 )
 
-// newAddresses returns the addresses of a loopback number that no other soak uses.
-func newAddresses() (*addresses, error) {
+// newAddressPool returns the addresses of a loopback number that no other soak uses.
+func newAddressPool() (*addressPool, error) {
 	begin := os.Getpid()
 	for n := begin; n < begin+nets*hosts; n++ {
 		ip := netip.AddrFrom4([4]byte{127, byte(firstNet + n/hosts%nets), byte(n % hosts), 1})
 		guard, err := net.Listen("tcp4", netip.AddrPortFrom(ip, firstPort).String())
 		if err == nil {
-			return &addresses{ip: ip, guard: guard}, nil
+			return &addressPool{ip: ip, guard: guard}, nil
 		}
 	}
 	return nil, errs.Errorf("no loopback number is free")
 }
 
 // next returns an address that was not given out.
-func (a *addresses) next() netip.AddrPort {
+func (a *addressPool) next() netip.AddrPort {
 	return netip.AddrPortFrom(a.ip, uint16(firstPort+a.used.Add(1)))
 }
 
 // prepareNode adds a node whose process does not run yet.
-func (s *site) prepareNode() (*node, error) {
+func (s *cluster) prepareNode() (*node, error) {
 	door, err := s.store.OpenEndpoint()
 	if err != nil {
 		return nil, err
 	}
-	n := &node{program: s.program, dir: s.dir, door: door, link: NewProxy(s.free.next())}
-	n.set = platformtest.Settings{
-		Callers: s.free.next(), Readiness: s.free.next(), Peers: s.free.next(), Metrics: s.free.next().Port(),
+	n := &node{program: s.program, dir: s.dir, door: door, link: NewProxy(s.addrs.next())}
+	n.settings = platformtest.Settings{
+		Callers: s.addrs.next(), Readiness: s.addrs.next(), Peers: s.addrs.next(), Metrics: s.addrs.next().Port(),
 		Store: n.link.Addr, Bounds: s.bounds.Bounds,
 	}
 	s.mu.Lock()
 	n.name = fmt.Sprintf("node-%d", len(s.nodes))
-	n.set.Node = n.name
+	n.settings.Node = n.name
 	s.nodes = append(s.nodes, n)
 	s.mu.Unlock()
-	return n, n.link.Point(door.Addr)
+	return n, n.link.SetTarget(door.Addr)
 }
 
 // seeds are the peers' doors of the first nodes.
-func (s *site) seeds() []netip.AddrPort {
+func (s *cluster) seeds() []netip.AddrPort {
 	const most = 3
 	var out []netip.AddrPort
 	for _, n := range s.allNodes() {
-		out = append(out, n.set.Peers)
+		out = append(out, n.settings.Peers)
 	}
 	return out[:min(most, len(out))]
 }
 
 // allNodes returns the nodes as they are now.
-func (s *site) allNodes() []*node {
+func (s *cluster) allNodes() []*node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*node(nil), s.nodes...)
 }
 
 // startNode starts a node's process unless one runs or the soak is over.
-func (s *site) startNode(n *node) error {
+func (s *cluster) startNode(n *node) error {
 	if err := n.writeSettings(s.seeds()); err != nil {
 		return err
 	}
 	// The lock is held so that no process is started that close does not see.
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.closed {
 		return nil
 	}
-	return n.start(s.ended)
+	return n.start(s.onNodeExit)
 }
 
-// ended takes a process that ended by itself, or in another way than it was told to.
-func (s *site) ended(n *node, state string) {
-	s.write(func(r *Record) {
-		r.Ends = append(r.Ends, Trouble{Scope: OfNode, Subject: n.name, Detail: state, From: time.Now()})
+// onNodeExit takes a process that ended by itself, or in another way than it was told to.
+func (s *cluster) onNodeExit(n *node, state string) {
+	s.update(func(r *Record) {
+		r.Exits = append(r.Exits, InjectedFault{Scope: OfNode, Subject: n.name, Detail: state, From: time.Now()})
 	})
-	time.AfterFunc(againTime, func() { s.must(s.startNode(n)) })
+	time.AfterFunc(restartDelay, func() { s.recordError(s.startNode(n)) })
 }
 
-// must notes what keeps the soak itself from its work.
-func (s *site) must(err error) {
+// recordError notes what keeps the soak itself from its work.
+func (s *cluster) recordError(err error) {
 	if err != nil {
-		s.write(func(r *Record) {
-			r.Ends = append(r.Ends, Trouble{Detail: "the soak: " + err.Error(), From: time.Now()})
+		s.update(func(r *Record) {
+			r.Exits = append(r.Exits, InjectedFault{Detail: "the soak: " + err.Error(), From: time.Now()})
 		})
 	}
 }
 
 // addTarget starts a target of a service at a new place.
-func (s *site) addTarget(service string) (*slot, error) {
-	sl := &slot{proxy: NewProxy(s.free.next())}
+func (s *cluster) addTarget(service string) (*slot, error) {
+	sl := &slot{proxy: NewProxy(s.addrs.next())}
 	s.mu.Lock()
 	weights := s.weights
 	s.mu.Unlock()
@@ -261,19 +261,19 @@
 }
 
 // newID returns an id that no target had.
-func (s *site) newID(service string) string {
+func (s *cluster) newID(service string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.born++
-	return fmt.Sprintf("%s-%d", service, s.born)
+	s.targetCount++
+	return fmt.Sprintf("%s-%d", service, s.targetCount)
 }
 
 // startTarget starts a target at a place, by its own clock at a time.
-func (s *site) startTarget(sl *slot, id, service string, weights int64, at time.Time) error {
+func (s *cluster) startTarget(sl *slot, id, service string, weights int64, at time.Time) error {
 	opts := []platformtest.Option{platformtest.WithAdvertisedAddr(sl.proxy.Addr), platformtest.WithStart(at.UnixMilli())}
 	if service == engineName {
 		opts = append(opts, platformtest.WithModel(modelName, weights), platformtest.WithEvents(streamEvents, eventGap),
-			platformtest.WithCrashPrompt(deadlyParts, func(r *platformtest.Replica) { s.steps.Go(func() { s.endUnder(sl, r) }) }))
+			platformtest.WithCrashPrompt(crashParts, func(r *platformtest.Replica) { s.steps.Go(func() { s.crashUnderRequest(sl, r) }) }))
 	}
 	r, err := platformtest.Start(s.store, s.runs, id, service, netip.AddrPort{}, opts...)
 	if err != nil {
@@ -282,17 +282,17 @@
 	s.mu.Lock()
 	sl.replica = r
 	s.mu.Unlock()
-	s.write(func(rec *Record) {
+	s.update(func(rec *Record) {
 		// The judge knows a target by its id, of which the last start counts.
 		rec.Targets = slices.DeleteFunc(rec.Targets, func(t Target) bool { return t.ID == id })
-		rec.Targets = append(rec.Targets, Target{ID: id, Service: service, Begun: time.Now()})
+		rec.Targets = append(rec.Targets, Target{ID: id, Service: service, Started: time.Now()})
 	})
-	return sl.proxy.Point(r.Addr)
+	return sl.proxy.SetTarget(r.Addr)
 }
 
-// target changes what the record says of a target.
-func (s *site) target(id string, change func(t *Target)) {
-	s.write(func(r *Record) {
+// updateTarget changes what the record says of a target.
+func (s *cluster) updateTarget(id string, change func(t *Target)) {
+	s.update(func(r *Record) {
 		for i := range r.Targets {
 			if r.Targets[i].ID == id {
 				change(&r.Targets[i])
@@ -301,26 +301,26 @@
 	})
 }
 
-// declare puts the next configuration in the store.
-func (s *site) declare() error {
+// writeConfig puts the next configuration in the store.
+func (s *cluster) writeConfig() error {
 	s.mu.Lock()
 	s.version++
 	cfg := configAt(s.version)
 	s.mu.Unlock()
-	place := 0
-	s.write(func(r *Record) {
-		place = len(r.Configs)
-		r.Configs = append(r.Configs, Declared{Config: cfg, Sent: time.Now()})
+	index := 0
+	s.update(func(r *Record) {
+		index = len(r.Configs)
+		r.Configs = append(r.Configs, ConfigWrite{Config: cfg, Sent: time.Now()})
 	})
 	if err := s.store.Declare(cfg); err != nil {
 		return err
 	}
-	s.write(func(r *Record) { r.Configs[place].Acked = time.Now() })
+	s.update(func(r *Record) { r.Configs[index].Acked = time.Now() })
 	return nil
 }
 
-// name names the next weights.
-func (s *site) name() error {
+// announceWeights names the next weights.
+func (s *cluster) announceWeights() error {
 	s.mu.Lock()
 	s.weights++
 	weights := s.weights
@@ -328,19 +328,21 @@
 	if err := s.store.NameWeights(modelName, weights); err != nil {
 		return err
 	}
-	s.write(func(r *Record) { r.Named = append(r.Named, Named{Weights: weights, Acked: time.Now()}) })
+	s.update(func(r *Record) {
+		r.Announced = append(r.Announced, WeightsAnnouncement{Weights: weights, Acked: time.Now()})
+	})
 	return nil
 }
 
-// newest returns the version of the newest configuration.
-func (s *site) newest() int64 {
+// newestVersion returns the version of the newest configuration.
+func (s *cluster) newestVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
 // snapshot returns the record as it is now.
-func (s *site) snapshot() Record {
+func (s *cluster) snapshot() Record {
 	// Runs come first: an attempt is noted before any run of it can be.
 	runs, orders, arrivals := s.runs.AllRuns(), s.runs.Orders(), s.runs.AllArrivals()
 	s.mu.Lock()
@@ -350,15 +352,15 @@
 	}
 	s.mu.Unlock()
 	var out Record
-	s.write(func(r *Record) {
+	s.update(func(r *Record) {
 		for i := range r.Targets {
 			r.Targets[i].Weights = weights[r.Targets[i].ID]
 		}
 		out = *r
 		out.Attempts = append([]Attempt(nil), r.Attempts...)
 		out.Targets = append([]Target(nil), r.Targets...)
-		out.Troubles = append([]Trouble(nil), r.Troubles...)
-		out.Configs = append([]Declared(nil), r.Configs...)
+		out.Faults = append([]InjectedFault(nil), r.Faults...)
+		out.Configs = append([]ConfigWrite(nil), r.Configs...)
 	})
 	out.Runs, out.Orders, out.Arrivals, out.Now = runs, orders, arrivals, time.Now()
 	return out
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -25,17 +25,17 @@
 }
 
 // A seed determines its plan, every kind is drawn, and plans are read back as they were written.
-func TestDraw(t *testing.T) {
+func TestGeneratePlan(t *testing.T) {
 	kinds := make(map[Kind]bool)
 	for seed := range uint64(200) {
-		p := Draw(seed, time.Minute, DefaultSize)
-		require.Equal(t, p, Draw(seed, time.Minute, DefaultSize))
+		p := GeneratePlan(seed, time.Minute, DefaultSize)
+		require.Equal(t, p, GeneratePlan(seed, time.Minute, DefaultSize))
 		for _, step := range p.Steps {
 			kinds[step.Kind] = true
 			require.Less(t, step.At, time.Minute)
 		}
 	}
-	require.Len(t, kinds, len(classes))
+	require.Len(t, kinds, len(kindTable))
 }
 
 // ciSeeds are the seeds that CI plays, for ciTime. Together their steps have processes
@@ -55,18 +55,18 @@
 		plans = append(plans, plan)
 	}
 	for _, seed := range ciSeeds {
-		plans = append(plans, Draw(seed, ciTime, DefaultSize))
+		plans = append(plans, GeneratePlan(seed, ciTime, DefaultSize))
 	}
 	for _, plan := range plans {
 		t.Run(fmt.Sprint(plan.Seed), func(t *testing.T) {
 			t.Parallel()
-			res, err := New(binaries, WithOutput(t.TempDir())).Play(t.Context(), plan)
+			res, err := New(binaries, WithOutput(t.TempDir())).Run(t.Context(), plan)
 			require.NoError(t, err)
 			var report strings.Builder
 			res.Write(&report)
 			t.Log(report.String())
 			require.NotEmpty(t, res.Record.Runs)
-			if len(res.Breaches) > 0 {
+			if len(res.Violations) > 0 {
 				joined, err := os.ReadFile(filepath.Join(res.Dir, "joined.txt"))
 				require.NoError(t, err)
 				t.Fatalf("%s", joined)
