--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -280,7 +280,7 @@
 }
 
 // setVMList tells the VM list of the targets; those in leaving are marked so.
-func (s *system) setVMList(leaving ...netip.AddrPort) {
+func (s *system) setVMList(draining ...netip.AddrPort) {
 	s.t.Helper()
 	type group struct {
 		Targets []string          `json:"targets"`
@@ -293,7 +293,7 @@
 			k, v, _ := strings.Cut(pair, "=")
 			g.Labels[k] = v
 		}
-		for _, l := range leaving {
+		for _, l := range draining {
 			if l == addr {
 				g.Labels["state"] = "leaving"
 			}
@@ -305,11 +305,11 @@
 
 // ctl runs pathheadctl and returns its output.
 func (s *system) ctl(args ...string) (string, error) {
-	var doors []string
+	var addrs []string
 	for _, r := range s.routers {
-		doors = append(doors, r.operatorAddr.String())
+		addrs = append(addrs, r.operatorAddr.String())
 	}
-	args = append(args, "--table", "http://"+s.table.addr.String(), "--objects", "http://"+s.objects.addr.String(), "--doors", strings.Join(doors, ","))
+	args = append(args, "--table", "http://"+s.table.addr.String(), "--objects", "http://"+s.objects.addr.String(), "--doors", strings.Join(addrs, ","))
 	out, err := exec.Command(filepath.Join(binaries, "pathheadctl"), args...).CombinedOutput()
 	return string(out), err
 }
@@ -430,23 +430,23 @@
 
 // client returns a caller of some routers.
 func (s *system) client(routers ...*routerProc) *load.Client {
-	var doors []netip.AddrPort
+	var addrs []netip.AddrPort
 	for _, r := range routers {
-		doors = append(doors, r.callerAddr)
+		addrs = append(addrs, r.callerAddr)
 	}
-	c := load.NewClient(doors, "w1", 0)
+	c := load.NewClient(addrs, "w1", 0)
 	s.t.Cleanup(c.Close)
 	return c
 }
 
 // promptRequest is a request with a long prompt whose last part is its own.
-func promptRequest(org, topic, own string, tokens int) load.Arrival {
+func promptRequest(org, topic, userText string, tokens int) load.Arrival {
 	return load.Arrival{
 		Org: org, Model: "desk-7b", MaxTokens: tokens,
 		Messages: []load.Message{
 			{Role: "system", Content: load.FillerText("preamble", 128)},
 			{Role: "system", Content: load.FillerText(topic, 512)},
-			{Role: "user", Content: load.FillerText(own, 32)},
+			{Role: "user", Content: load.FillerText(userText, 32)},
 		},
 	}
 }
--- a/internal/e2e/leaving_test.go
+++ b/internal/e2e/leaving_test.go
@@ -23,22 +23,22 @@
 			s.post(s.routers[0].operatorAddr, "/v1/leave?target="+e.addr.String(), struct{}{})
 		},
 	}
-	for name, leave := range cases {
+	for name, startDraining := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSystem(t, setup{engines: 3, routers: 3})
 			c := s.client(s.routers...)
-			leaving := s.engines[0]
+			draining := s.engines[0]
 			begun := time.Now()
-			leave(s, leaving)
-			s.eventually(func() bool { return s.seenDraining(leaving) }, "every router knows")
+			startDraining(s, draining)
+			s.eventually(func() bool { return s.seenDraining(draining) }, "every router knows")
 			t.Logf("every router knows after %s", time.Since(begun).Round(time.Millisecond))
 			s.setVMList() // The list, lagging, says that it lives.
-			before := len(s.runs(leaving))
+			before := len(s.runs(draining))
 			for i := range 24 {
 				require.True(t, s.send(c, promptRequest("formosa-air", fmt.Sprint(i), fmt.Sprint(i), 2)).OK())
 			}
-			require.Len(t, s.runs(leaving), before, "it gets no new work")
+			require.Len(t, s.runs(draining), before, "it gets no new work")
 		})
 	}
 }
--- a/internal/e2e/restart_test.go
+++ b/internal/e2e/restart_test.go
@@ -128,8 +128,8 @@
 func TestSuspendedRouterServesNoOldRevision(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 2})
-	frozen := s.routers[1]
-	frozen.signal(syscall.SIGSTOP)
+	suspended := s.routers[1]
+	suspended.signal(syscall.SIGSTOP)
 	// The next revision takes the organisation's key away.
 	old := "3f" + strings.Repeat("0", 62)
 	config := exampleConfig(t)
@@ -140,13 +140,13 @@
 	out, err := s.ctl("apply", file, "--wait", "4s")
 	require.Error(t, err, "apply says that a router was not seen in force")
 	require.Contains(t, out, "was not seen in force")
-	frozen.signal(syscall.SIGCONT)
+	suspended.signal(syscall.SIGCONT)
 	for range 50 {
-		r := s.send(s.client(frozen), promptRequest("formosa-air", "t", "x", 2))
+		r := s.send(s.client(suspended), promptRequest("formosa-air", "t", "x", 2))
 		require.NotEqual(t, http.StatusOK, r.Status, "a router that wakes serves nothing under an old revision")
 	}
-	s.await(frozen.callerAddr, "/readyz")
-	st, _ := s.status(frozen)
+	s.await(suspended.callerAddr, "/readyz")
+	st, _ := s.status(suspended)
 	require.EqualValues(t, 2, st.Revision)
 }
 
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -207,9 +207,9 @@
 	r := s.replicaAt(sl)
 	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
 	s.endTarget(sl, r)
-	lapse := time.AfterFunc(entryTTL, r.Unlist)
+	expiry := time.AfterFunc(entryTTL, r.Unlist)
 	wait(ctx, step.Length)
-	lapse.Stop()
+	expiry.Stop()
 	skew := clockSkew
 	if step.At.Milliseconds()%2 == 0 {
 		skew = -skew
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -176,18 +176,18 @@
 
 // checkAttempts checks how many targets ran a request.
 func (v *verifier) checkAttempts() {
-	var over []string
+	var excess []string
 	var last time.Time
 	for id, runs := range v.runsOf {
 		a, ok := v.byID[id]
 		most := map[CallKind]int{ResumeCall: 3, SafeCall: 2}
 		if ok && len(runs) > max(1, most[a.Kind]) {
-			over, last = append(over, id), runs[len(runs)-1].StartedAt
+			excess, last = append(excess, id), runs[len(runs)-1].StartedAt
 		}
 	}
-	if len(over) > maxOverAttempted {
-		slices.Sort(over)
-		v.addViolation(AttemptsBounded, last, over[0], "and %d more", len(over)-1)
+	if len(excess) > maxOverAttempted {
+		slices.Sort(excess)
+		v.addViolation(AttemptsBounded, last, excess[0], "and %d more", len(excess)-1)
 	}
 }
 
@@ -198,8 +198,8 @@
 		if t.DrainingSince.IsZero() || a == nil || !a.Sent.After(t.DrainingSince.Add(v.Bounds.Drain)) {
 			continue
 		}
-		told := v.noFault(t.DrainingSince.Add(-v.Bounds.Contact), t.DrainingSince, func(t InjectedFault) bool { return t.Scope == OfStore })
-		if told && v.inContact(a.Node, a.Sent, r.StartedAt) {
+		storeSound := v.noFault(t.DrainingSince.Add(-v.Bounds.Contact), t.DrainingSince, func(t InjectedFault) bool { return t.Scope == OfStore })
+		if storeSound && v.inContact(a.Node, a.Sent, r.StartedAt) {
 			v.addViolation(NoWorkWhenDraining, r.StartedAt, r.ID, "%s sent it %s after %s said that it leaves", a.Node, a.Sent.Sub(t.DrainingSince), t.ID)
 		}
 	}
@@ -246,16 +246,16 @@
 
 // checkKeepAlive checks that nodes in touch answer what they passed on.
 func (v *verifier) checkKeepAlive() {
-	var lost []string
+	var unanswered []string
 	var last time.Time
 	for _, a := range v.Attempts {
 		runs := v.runsOf[a.ID]
 		if a.incomplete() && a.Status == 0 && a.Kept && len(runs) > 0 && v.inContact(a.Node, a.Sent, a.Done) && v.unaffected(a, runs) {
-			lost, last = append(lost, a.ID), a.Done
+			unanswered, last = append(unanswered, a.ID), a.Done
 		}
 	}
-	if len(lost) > maxUnanswered {
-		v.addViolation(KeepAliveAnswered, last, lost[0], "%d without an answer", len(lost))
+	if len(unanswered) > maxUnanswered {
+		v.addViolation(KeepAliveAnswered, last, unanswered[0], "%d without an answer", len(unanswered))
 	}
 }
 
@@ -269,18 +269,18 @@
 func (v *verifier) checkTimeliness() {
 	var overdue []string
 	var last time.Time
-	long := 0
+	reachedTimeout := 0
 	for _, a := range v.Attempts {
 		took := a.Done.Sub(a.Sent)
 		if a.Node == "" || a.Done.IsZero() || took < routeTime || !v.inContact(a.Node, a.Sent, a.Done) {
 			continue
 		}
-		if long++; took > routeTime+v.Bounds.AnswerSlack {
+		if reachedTimeout++; took > routeTime+v.Bounds.AnswerSlack {
 			overdue, last = append(overdue, a.ID), a.Done
 		}
 	}
-	if len(overdue) > maxOverdue && overdueRatio*len(overdue) > long {
-		v.addViolation(AnswersTimely, last, overdue[0], "%d of %d that lasted as long as their route allows", len(overdue), long)
+	if len(overdue) > maxOverdue && overdueRatio*len(overdue) > reachedTimeout {
+		v.addViolation(AnswersTimely, last, overdue[0], "%d of %d that lasted as long as their route allows", len(overdue), reachedTimeout)
 	}
 }
 
--- a/internal/soak/judge_config.go
+++ b/internal/soak/judge_config.go
@@ -150,7 +150,7 @@
 
 // checkDenied checks that what every configuration allows is not denied.
 func (v *verifier) checkDenied() {
-	var in, out []string
+	var inContact, outOfContact []string
 	var last time.Time
 	for i := range v.Attempts {
 		a := &v.Attempts[i]
@@ -164,12 +164,12 @@
 		switch {
 		case !proper:
 		case v.inContact(a.Node, a.Sent, a.Done):
-			in, last = append(in, a.ID), a.Done
+			inContact, last = append(inContact, a.ID), a.Done
 		default:
-			out, last = append(out, a.ID), a.Done
+			outOfContact, last = append(outOfContact, a.ID), a.Done
 		}
 	}
-	if len(in) > maxDenied+len(v.Attempts)/attemptsPerDenied || len(out) > maxDeniedOutOfContact {
-		v.addViolation(ValidAccepted, last, append(in, out...)[0], "%d by nodes in touch, %d by others", len(in), len(out))
+	if len(inContact) > maxDenied+len(v.Attempts)/attemptsPerDenied || len(outOfContact) > maxDeniedOutOfContact {
+		v.addViolation(ValidAccepted, last, append(inContact, outOfContact...)[0], "%d by nodes in touch, %d by others", len(inContact), len(outOfContact))
 	}
 }
--- a/internal/soak/judge_weights.go
+++ b/internal/soak/judge_weights.go
@@ -105,9 +105,9 @@
 			total += d
 		}
 	}
-	troubles := slices.Clone(v.Faults)
-	slices.SortStableFunc(troubles, func(a, b InjectedFault) int { return a.From.Compare(b.From) })
-	for _, t := range troubles {
+	faults := slices.Clone(v.Faults)
+	slices.SortStableFunc(faults, func(a, b InjectedFault) int { return a.From.Compare(b.From) })
+	for _, t := range faults {
 		until, ok := v.disturbedUntil(t)
 		if !ok || until.Before(from) || t.From.After(to) {
 			continue
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -242,8 +242,8 @@
 }
 
 // randomDuration draws a time from zero up to a bound.
-func randomDuration(rng *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(max(1, most))))
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(max(1, limit))))
 }
 
 // setDetails draws what only some kinds have.
--- a/internal/soak/said.go
+++ b/internal/soak/said.go
@@ -114,9 +114,9 @@
 func (v *verifier) checkDrainingHints() {
 	hintsDraining := func(a platformtest.Arrival) bool { return a.Hints.Get(platformtest.HintDraining) != "" }
 	for _, all := range v.arrivals() {
-		told := v.hintTimes(all, hintsDraining)
+		hinted := v.hintTimes(all, hintsDraining)
 		for _, a := range all {
-			at, ok := told[a.sender()]
+			at, ok := hinted[a.sender()]
 			if ok && a.attempt.Sent.After(at.Add(v.Bounds.Drain)) && v.ranThroughout(a.attempt.Node, at, a.At) {
 				v.addViolation(DrainingHintFollowed, a.At, a.ID, "%s sent it to %s %s after an answer had said that it leaves", a.attempt.Node, a.Replica, a.attempt.Sent.Sub(at))
 			}
@@ -133,7 +133,7 @@
 func (v *verifier) checkLimitHints() {
 	hintsLimit := func(a platformtest.Arrival) bool { return a.Hints.Get(platformtest.HintLimit) != "" }
 	for _, all := range v.arrivals() {
-		told := v.hintTimes(all, hintsLimit)
+		hinted := v.hintTimes(all, hintsLimit)
 		var counted []arrival
 		var first time.Time
 		for _, a := range all {
@@ -144,7 +144,7 @@
 			if first.IsZero() {
 				first = a.At
 			}
-			at, ok := told[a.sender()]
+			at, ok := hinted[a.sender()]
 			if ok && a.At.After(at.Add(hintDelay)) && v.inContact(a.attempt.Node, at, a.At) {
 				counted = append(counted, a)
 			}
@@ -163,22 +163,22 @@
 // checkBackoffHints checks that a target which asked a node for rest gets next to nothing of it meanwhile.
 func (v *verifier) checkBackoffHints() {
 	for _, all := range v.arrivals() {
-		for k, asked := range all {
-			seconds, err := strconv.ParseFloat(asked.Hints.Get(platformtest.HintBackoff), 64)
-			if asked.ShedAt.IsZero() || err != nil {
+		for k, refused := range all {
+			seconds, err := strconv.ParseFloat(refused.Hints.Get(platformtest.HintBackoff), 64)
+			if refused.ShedAt.IsZero() || err != nil {
 				continue
 			}
-			from, until := asked.ShedAt.Add(hintDelay), asked.ShedAt.Add(time.Duration(seconds*float64(time.Second)))
+			from, until := refused.ShedAt.Add(hintDelay), refused.ShedAt.Add(time.Duration(seconds*float64(time.Second)))
 			n := 0
 			for _, a := range all[k+1:] {
 				if a.At.After(until) {
 					break
 				}
-				if a.sender() == asked.sender() && a.At.After(from) && v.inContact(a.attempt.Node, asked.At, a.At) {
+				if a.sender() == refused.sender() && a.At.After(from) && v.inContact(a.attempt.Node, refused.At, a.At) {
 					n++
 				}
 				if n > maxDuringBackoff {
-					v.addViolation(BackoffHintFollowed, a.At, a.ID, "%s sent %d to %s, which had asked it for rest %s before", a.attempt.Node, n, a.Replica, a.At.Sub(asked.ShedAt))
+					v.addViolation(BackoffHintFollowed, a.At, a.ID, "%s sent %d to %s, which had asked it for rest %s before", a.attempt.Node, n, a.Replica, a.At.Sub(refused.ShedAt))
 					break
 				}
 			}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -76,7 +76,7 @@
 }
 
 // The plans that are kept are read, and say what they showed.
-func TestKeptPlans(t *testing.T) {
+func TestStoredPlans(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
