--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -23,7 +23,7 @@
 // sendSuspectCopies has copies of one request come to nodes in any order, as a caller of its own sends them.
 func (s *cluster) sendSuspectCopies(ctx context.Context, step Step) {
 	name := fmt.Sprintf("deadly-%d", step.At.Milliseconds())
-	defer s.beginFault(InjectedFault{Scope: OfPlan, Kind: step.Kind, Detail: name})()
+	defer s.beginFault(InjectedFault{Scope: ScopePlanned, Kind: step.Kind, Detail: name})()
 	c := newCaller(s, &balancer{cluster: s, misses: make(map[string]int)}, name)
 	var copies sync.WaitGroup
 	defer copies.Wait()
@@ -41,7 +41,7 @@
 // recordCrash ends an engine that has begun to run such a request, and starts another in its place
 // unless a step that ends it does so.
 func (s *cluster) crashUnderRequest(sl *slot, r *platformtest.Replica) {
-	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: SuspectRequest, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: SuspectRequest, Subject: r.ID})()
 	claimed := s.claim(sl)
 	s.endTarget(sl, r)
 	time.AfterFunc(entryTTL, r.Unlist)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -31,7 +31,7 @@
 func (s *cluster) apply(ctx context.Context, step Step) {
 	nodes := s.allNodes()
 	n := nodes[max(0, step.Subject)%len(nodes)]
-	sl := s.engineOrPlain(step)
+	sl := s.affectedSlot(step)
 	switch step.Kind {
 	case Pause, Kill, Stop:
 		if p := n.running(); p != nil {
@@ -40,7 +40,7 @@
 	case ReloadSettings:
 		s.recordError(n.writeSettings(s.seeds()))
 		if p := n.running(); p != nil {
-			s.recordFault(InjectedFault{Scope: OfPlan, Kind: ReloadSettings, Subject: n.name})
+			s.recordFault(InjectedFault{Scope: ScopePlanned, Kind: ReloadSettings, Subject: n.name})
 			n.signal(p, syscall.SIGHUP, false)
 		}
 	case AddNode:
@@ -49,15 +49,15 @@
 			s.recordError(err)
 			return
 		}
-		s.recordFault(InjectedFault{Scope: OfNode, Kind: AddNode, Subject: n.name})
+		s.recordFault(InjectedFault{Scope: ScopeNode, Kind: AddNode, Subject: n.name})
 		s.recordError(s.startNode(n))
 	case StoreFails:
 		s.failStore(ctx, step, n)
 	case StoreForgets:
-		s.recordFault(InjectedFault{Scope: OfStore, Kind: StoreForgets})
+		s.recordFault(InjectedFault{Scope: ScopeStore, Kind: StoreForgets})
 		s.store.Compact()
 	case StoreRollback:
-		s.recordFault(InjectedFault{Scope: OfStore, Kind: StoreRollback, Detail: step.Length.String()})
+		s.recordFault(InjectedFault{Scope: ScopeStore, Kind: StoreRollback, Detail: step.Length.String()})
 		s.store.RestoreCopy(step.Length)
 	case StoreLink:
 		s.impairLink(ctx, step, n.link, n.name)
@@ -86,15 +86,15 @@
 		s.delayOrders(ctx, step, sl)
 	case AnnounceWeights:
 		s.recordError(s.announceWeights())
-		s.recordFault(InjectedFault{Scope: OfPlan, Kind: AnnounceWeights, Detail: fmt.Sprint(s.weights)})
+		s.recordFault(InjectedFault{Scope: ScopePlanned, Kind: AnnounceWeights, Detail: fmt.Sprint(s.weights)})
 	case Reconfigure:
 		s.recordError(s.writeConfig())
-		s.recordFault(InjectedFault{Scope: OfPlan, Kind: Reconfigure, Detail: fmt.Sprint(s.newestVersion())})
+		s.recordFault(InjectedFault{Scope: ScopePlanned, Kind: Reconfigure, Detail: fmt.Sprint(s.newestVersion())})
 	}
 }
 
-// engineOrPlain returns the place that a step hits; orders go to engines alone.
-func (s *cluster) engineOrPlain(step Step) *slot {
+// affectedSlot returns the place that a step hits; orders go to engines alone.
+func (s *cluster) affectedSlot(step Step) *slot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	most := len(s.slots)
@@ -106,7 +106,7 @@
 
 // applyProcess pauses, kills or stops a process, which runs again afterwards.
 func (s *cluster) applyProcess(ctx context.Context, step Step, n *node, p *process) {
-	defer s.beginFault(InjectedFault{Scope: OfNode, Kind: step.Kind, Subject: n.name})()
+	defer s.beginFault(InjectedFault{Scope: ScopeNode, Kind: step.Kind, Subject: n.name})()
 	switch step.Kind {
 	case Pause:
 		s.addImpairment(p)
@@ -121,7 +121,7 @@
 		select {
 		case <-p.ended:
 		case <-time.After(s.bounds.Grace):
-			s.recordFault(InjectedFault{Scope: OfPlan, Kind: Stop, Subject: n.name, Detail: "still there at the end of the grace"})
+			s.recordFault(InjectedFault{Scope: ScopePlanned, Kind: Stop, Subject: n.name, Detail: "still there at the end of the grace"})
 			n.kill(p)
 		}
 	default:
@@ -137,7 +137,7 @@
 	if step.Subject == AllNodes {
 		subject, hit = "", s.allNodes()
 	}
-	defer s.beginFault(InjectedFault{Scope: OfStore, Kind: StoreFails, Subject: subject, Detail: fmt.Sprint(step.Outage)})()
+	defer s.beginFault(InjectedFault{Scope: ScopeStore, Kind: StoreFails, Subject: subject, Detail: fmt.Sprint(step.Outage)})()
 	for _, n := range hit {
 		s.addImpairment(n.door)
 		n.door.Fail(step.Outage)
@@ -167,7 +167,7 @@
 
 // impairLink impairs a link. A reset and silence happen at one moment.
 func (s *cluster) impairLink(ctx context.Context, step Step, p *Proxy, subject string) {
-	defer s.beginFault(InjectedFault{Scope: OfLink, Kind: step.Kind, Subject: subject, Detail: string(step.Link)})()
+	defer s.beginFault(InjectedFault{Scope: ScopeLink, Kind: step.Kind, Subject: subject, Detail: string(step.Link)})()
 	if step.Link == Reset || step.Link == Stall {
 		p.SetState(step.Link)
 		return
@@ -183,7 +183,7 @@
 // crashTarget ends a target, whose entry lapses, and starts it again with the weights that it had.
 func (s *cluster) crashTarget(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
 	s.endTarget(sl, r)
 	time.AfterFunc(entryTTL, r.Unlist)
 	wait(ctx, step.Length)
@@ -205,7 +205,7 @@
 // clock that its new start is told by may be off to either side.
 func (s *cluster) restartTarget(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
 	s.endTarget(sl, r)
 	expiry := time.AfterFunc(entryTTL, r.Unlist)
 	wait(ctx, step.Length)
@@ -230,7 +230,7 @@
 	if r.Service == foreignName {
 		return
 	}
-	end := s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})
+	end := s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})
 	defer end()
 	replacement, err := s.addTarget(r.Service)
 	if err != nil {
@@ -275,7 +275,7 @@
 // failPartially has a target fail a part of its requests.
 func (s *cluster) failPartially(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
 	faults := plainFaults
 	if r.Service == engineName {
 		faults = engineFaults
@@ -293,7 +293,7 @@
 // delayOrders has a target leave most orders unanswered and carry them out late.
 func (s *cluster) delayOrders(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
-	defer s.beginFault(InjectedFault{Scope: OfOrders, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: ScopeOrders, Kind: step.Kind, Subject: r.ID})()
 	defer r.DelayOrders(0)
 	rng := rand.New(rand.NewPCG(uint64(step.Length), 0))
 	for end := time.Now().Add(step.Length); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, orderDelayInterval) {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -98,7 +98,7 @@
 // affectsLinks reports whether a trouble is one of a node's links. Connections that fall
 // silent count as a reset of those of all nodes.
 func affectsLinks(t InjectedFault, node string) bool {
-	return t.Scope == OfLink && (t.Subject == "" || t.Subject == node || t.Detail == string(Stall))
+	return t.Scope == ScopeLink && (t.Subject == "" || t.Subject == node || t.Detail == string(Stall))
 }
 
 // inContact reports whether a node is held to bounds of time over a span: its
@@ -107,9 +107,9 @@
 	contact := v.Bounds.Contact
 	return node != "" &&
 		v.noFault(from.Add(-contact), to, func(t InjectedFault) bool {
-			return t.Scope == OfNode && t.Subject == node || affectsLinks(t, node)
+			return t.Scope == ScopeNode && t.Subject == node || affectsLinks(t, node)
 		}) &&
-		v.noFault(from.Add(-2*contact), to, func(t InjectedFault) bool { return t.Scope == OfStore })
+		v.noFault(from.Add(-2*contact), to, func(t InjectedFault) bool { return t.Scope == ScopeStore })
 }
 
 // checkAnswers checks what callers got.
@@ -198,7 +198,7 @@
 		if t.DrainingSince.IsZero() || a == nil || !a.Sent.After(t.DrainingSince.Add(v.Bounds.Drain)) {
 			continue
 		}
-		storeSound := v.noFault(t.DrainingSince.Add(-v.Bounds.Contact), t.DrainingSince, func(t InjectedFault) bool { return t.Scope == OfStore })
+		storeSound := v.noFault(t.DrainingSince.Add(-v.Bounds.Contact), t.DrainingSince, func(t InjectedFault) bool { return t.Scope == ScopeStore })
 		if storeSound && v.inContact(a.Node, a.Sent, r.StartedAt) {
 			v.addViolation(NoWorkWhenDraining, r.StartedAt, r.ID, "%s sent it %s after %s said that it leaves", a.Node, a.Sent.Sub(t.DrainingSince), t.ID)
 		}
@@ -218,7 +218,7 @@
 			continue
 		}
 		stopping := !v.noFault(a.Done.Add(-v.Bounds.Grace-time.Second), a.Done, func(t InjectedFault) bool {
-			return t.Kind == Stop && t.Scope == OfNode && t.Subject == a.Node && t.From.Add(v.Bounds.Grace+time.Second).After(a.Done)
+			return t.Kind == Stop && t.Scope == ScopeNode && t.Subject == a.Node && t.From.Add(v.Bounds.Grace+time.Second).After(a.Done)
 		})
 		if stopping && v.unaffected(a, runs) {
 			v.addViolation(PlannedStopClean, a.Done, a.ID, "%s was stopping, %d runs: %s", a.Node, len(runs), a.Err)
@@ -230,11 +230,11 @@
 func (v *verifier) unaffected(a Attempt, runs []platformtest.Run) bool {
 	return v.noFault(a.Sent.Add(-v.Bounds.Contact), a.Done, func(t InjectedFault) bool {
 		switch t.Scope {
-		case OfNode:
+		case ScopeNode:
 			return t.Subject == a.Node && (t.Kind == Pause || t.Kind == Kill)
-		case OfLink, OfStore, OfOrders:
+		case ScopeLink, ScopeStore, ScopeOrders:
 			return true
-		case OfTarget:
+		case ScopeTarget:
 			return len(runs) == 0 || slices.ContainsFunc(runs, func(r platformtest.Run) bool { return r.Replica == t.Subject })
 		}
 		return false
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -72,11 +72,11 @@
 	}
 	cutByStop := func(r *Record, more ...InjectedFault) {
 		r.Attempts[1].Status, r.Attempts[1].Err = 0, "EOF"
-		r.Faults = append(more, injectedFault(OfNode, Stop, "a", 29, 37))
+		r.Faults = append(more, injectedFault(ScopeNode, Stop, "a", 29, 37))
 	}
-	removed := Attempt{ID: "k.0", Call: "k", Kind: SafeCall, Path: "/safe/x", Key: versionKey(1)}
-	moved := Attempt{ID: "v.0", Call: "v", Kind: SafeCall, Path: movedPath + "x", Key: openKey}
-	deadly := func(r *Record, late int) {
+	removedKeyCall := Attempt{ID: "k.0", Call: "k", Kind: SafeCall, Path: "/safe/x", Key: versionKey(1)}
+	movedRouteCall := Attempt{ID: "v.0", Call: "v", Kind: SafeCall, Path: movedPath + "x", Key: openKey}
+	addSuspectRuns := func(r *Record, late int) {
 		for n := range 3 + late {
 			second := 20 + float64(n)/10
 			if n >= 3 {
@@ -87,7 +87,7 @@
 			r.Attempts[len(r.Attempts)-1].Status, r.Attempts[len(r.Attempts)-1].Seal, r.Attempts[len(r.Attempts)-1].Answer = http.StatusBadGateway, "", ""
 		}
 	}
-	refusedAgain := func(r *Record, second float64) {
+	holdCopy := func(r *Record, second float64) {
 		again := r.Attempts[2]
 		again.ID, again.Sent, again.Done = "m.1", at(second), at(second+0.1)
 		again.Status, again.Seal, again.Answer, again.AnswerID = http.StatusServiceUnavailable, "", "crashes_targets: held", ""
@@ -110,31 +110,34 @@
 			r.Arrivals = append(r.Arrivals, seen)
 		}
 	}
-	paused := func(r *Record, from, until float64) {
-		r.Faults = append(r.Faults, injectedFault(OfNode, Pause, "a", from, until))
+	pauseNode := func(r *Record, from, until float64) {
+		r.Faults = append(r.Faults, injectedFault(ScopeNode, Pause, "a", from, until))
 	}
 	cases := map[string]struct {
 		change func(r *Record)
 		breaks Guarantee
 	}{
 		"a target that says it leaves is used on": {func(r *Record) { sendHinted(r, 1, platformtest.HintDraining, "1", false) }, DrainingHintFollowed},
-		"it is used by a node that was paused":    {func(r *Record) { sendHinted(r, 1, platformtest.HintDraining, "1", false); paused(r, 20.5, 30) }, ""},
+		"it is used by a node that was paused":    {func(r *Record) { sendHinted(r, 1, platformtest.HintDraining, "1", false); pauseNode(r, 20.5, 30) }, ""},
 		"a limit is gone over":                    {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "1", false) }, LimitHintFollowed},
 		"a limit is kept":                         {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "4", false) }, ""},
-		"a limit is gone over after a pause":      {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "1", false); paused(r, 20, 20.6) }, ""},
+		"a limit is gone over after a pause":      {func(r *Record) { sendHinted(r, 4, platformtest.HintLimit, "1", false); pauseNode(r, 20, 20.6) }, ""},
 		"a target gets no rest":                   {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "3", true) }, BackoffHintFollowed},
 		"a target gets its rest":                  {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "1", true) }, ""},
-		"a target gets no rest after a pause":     {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "3", true); paused(r, 20, 30) }, ""},
-		"a request that ends targets goes on":     {func(r *Record) { deadly(r, 4) }, SuspectsHeld},
-		"a request that ends targets is known":    {func(r *Record) { deadly(r, 3) }, ""},
-		"a request that ends targets, by one cut": {func(r *Record) { deadly(r, 4); r.Faults = []InjectedFault{injectedFault(OfNode, Pause, "a", 21, 26)} }, ""},
-		"an answered request is held back":        {func(r *Record) { refusedAgain(r, 33) }, AnsweredNotHeld},
-		"a request is held back before an answer": {func(r *Record) { refusedAgain(r, 31) }, ""},
-		"all is well":                             {func(*Record) {}, ""},
-		"an answer of another":                    {func(r *Record) { r.Attempts[1].AnswerID = "s.0" }, AnswerIntact},
-		"a half answer as whole":                  {func(r *Record) { r.Attempts[1].Answer = "the" }, AnswerIntact},
-		"a half answer with an error":             {func(r *Record) { r.Attempts[1].Answer, r.Attempts[1].Err = "the", "EOF" }, ""},
-		"an answer without a seal":                {func(r *Record) { r.Attempts[1].Seal = "" }, AnswerIntact},
+		"a target gets no rest after a pause":     {func(r *Record) { sendHinted(r, 2, platformtest.HintBackoff, "3", true); pauseNode(r, 20, 30) }, ""},
+		"a request that ends targets goes on":     {func(r *Record) { addSuspectRuns(r, 4) }, SuspectsHeld},
+		"a request that ends targets is known":    {func(r *Record) { addSuspectRuns(r, 3) }, ""},
+		"a request that ends targets, by one cut": {func(r *Record) {
+			addSuspectRuns(r, 4)
+			r.Faults = []InjectedFault{injectedFault(ScopeNode, Pause, "a", 21, 26)}
+		}, ""},
+		"an answered request is held back":        {func(r *Record) { holdCopy(r, 33) }, AnsweredNotHeld},
+		"a request is held back before an answer": {func(r *Record) { holdCopy(r, 31) }, ""},
+		"all is well":                 {func(*Record) {}, ""},
+		"an answer of another":        {func(r *Record) { r.Attempts[1].AnswerID = "s.0" }, AnswerIntact},
+		"a half answer as whole":      {func(r *Record) { r.Attempts[1].Answer = "the" }, AnswerIntact},
+		"a half answer with an error": {func(r *Record) { r.Attempts[1].Answer, r.Attempts[1].Err = "the", "EOF" }, ""},
+		"an answer without a seal":    {func(r *Record) { r.Attempts[1].Seal = "" }, AnswerIntact},
 		"a stream with a gap": {func(r *Record) {
 			r.Attempts[0].Answer = platformtest.Event("s.0", 2)
 			r.Attempts[0].Err = "EOF"
@@ -151,38 +154,38 @@
 		"a target that left":       {func(r *Record) { r.Targets[2].DrainingSince = at(28) }, NoWorkWhenDraining},
 		"a target that leaves":     {func(r *Record) { r.Targets[2].DrainingSince = at(30.5) }, ""},
 		"a target that left unheard": {func(r *Record) {
-			r.Targets[2].DrainingSince, r.Faults = at(28), []InjectedFault{injectedFault(OfNode, Pause, "a", 28, 30)}
+			r.Targets[2].DrainingSince, r.Faults = at(28), []InjectedFault{injectedFault(ScopeNode, Pause, "a", 28, 30)}
 		}, ""},
 		"a removed route": {func(r *Record) {
-			add(r, moved, 40, "z1")
+			add(r, movedRouteCall, 40, "z1")
 			r.Runs[3].Service = spareName
 			reconfigured(r, 35)
 		}, ConfigApplied},
 		"a route just removed": {func(r *Record) {
-			add(r, moved, 40, "z1")
+			add(r, movedRouteCall, 40, "z1")
 			reconfigured(r, 39)
 		}, ""},
 		"a removed route, cut off": {func(r *Record) {
-			add(r, moved, 40, "z1")
+			add(r, movedRouteCall, 40, "z1")
 			reconfigured(r, 35)
-			r.Faults = []InjectedFault{injectedFault(OfLink, StoreLink, "a", 34, 38)}
+			r.Faults = []InjectedFault{injectedFault(ScopeLink, StoreLink, "a", 34, 38)}
 		}, ""},
 		"back to an older version": {func(r *Record) {
-			add(r, moved, 40, "p1")
+			add(r, movedRouteCall, 40, "p1")
 			reconfigured(r, 39)
-			again := moved
+			again := movedRouteCall
 			again.ID, again.Call = "w.0", "w"
 			add(r, again, 40.9, "z1")
 		}, ConfigMonotonic},
 		"a removed key": {func(r *Record) {
-			add(r, removed, 50, "p1")
+			add(r, removedKeyCall, 50, "p1")
 			reconfigured(r, 44)
-			r.Faults = []InjectedFault{injectedFault(OfStore, StoreFails, "", 43, 60)}
+			r.Faults = []InjectedFault{injectedFault(ScopeStore, StoreFails, "", 43, 60)}
 		}, KeysRevoked},
 		"a key just removed": {func(r *Record) {
-			add(r, removed, 48, "p1")
+			add(r, removedKeyCall, 48, "p1")
 			reconfigured(r, 44)
-			r.Faults = []InjectedFault{injectedFault(OfStore, StoreFails, "", 43, 60)}
+			r.Faults = []InjectedFault{injectedFault(ScopeStore, StoreFails, "", 43, 60)}
 		}, ""},
 		"proper requests denied": {func(r *Record) {
 			for range 8 {
@@ -205,26 +208,26 @@
 		}, SingleLeaseHolder},
 		"an order right after a pause": {func(r *Record) {
 			r.Orders = []platformtest.ReceivedOrder{order("e1", "b", 2, 2, 20), order("e1", "a", 1, 3, 22)}
-			r.Faults = []InjectedFault{injectedFault(OfNode, Pause, "a", 10, 21.9)}
+			r.Faults = []InjectedFault{injectedFault(ScopeNode, Pause, "a", 10, 21.9)}
 		}, ""},
 		"old weights":                 {func(r *Record) { announced(r, 19.5) }, WeightsCurrent},
 		"weights just replaced":       {func(r *Record) { announced(r, 20.5) }, ""},
-		"old weights after a pause":   {func(r *Record) { announced(r, 10, injectedFault(OfNode, Pause, "a", 20, 28)) }, ""},
-		"old weights long after it":   {func(r *Record) { announced(r, 10, injectedFault(OfNode, Pause, "a", 20, 26)) }, WeightsCurrent},
-		"old weights at another node": {func(r *Record) { announced(r, 10, injectedFault(OfNode, Kill, "b", 20, 28)) }, WeightsCurrent},
-		"old weights after a cut":     {func(r *Record) { announced(r, 10, injectedFault(OfLink, StoreLink, "b", 20, 22)) }, ""},
+		"old weights after a pause":   {func(r *Record) { announced(r, 10, injectedFault(ScopeNode, Pause, "a", 20, 28)) }, ""},
+		"old weights long after it":   {func(r *Record) { announced(r, 10, injectedFault(ScopeNode, Pause, "a", 20, 26)) }, WeightsCurrent},
+		"old weights at another node": {func(r *Record) { announced(r, 10, injectedFault(ScopeNode, Kill, "b", 20, 28)) }, WeightsCurrent},
+		"old weights after a cut":     {func(r *Record) { announced(r, 10, injectedFault(ScopeLink, StoreLink, "b", 20, 22)) }, ""},
 		"a pool with old weights": {func(r *Record) {
 			r.Announced = append(r.Announced, WeightsAnnouncement{2, at(40)})
-			r.Faults = []InjectedFault{injectedFault(OfOrders, OrdersLate, "e1", 40, 60)}
+			r.Faults = []InjectedFault{injectedFault(ScopeOrders, OrdersLate, "e1", 40, 60)}
 		}, WeightsConverge},
 		"a pool in time": {func(r *Record) {
 			r.Announced = append(r.Announced, WeightsAnnouncement{2, at(40)})
-			r.Faults = []InjectedFault{injectedFault(OfLink, StoreLink, "b", 45, 52)}
+			r.Faults = []InjectedFault{injectedFault(ScopeLink, StoreLink, "b", 45, 52)}
 		}, ""},
 		"a stop that cuts":          {func(r *Record) { cutByStop(r) }, PlannedStopClean},
-		"a stop and a kill":         {func(r *Record) { cutByStop(r, injectedFault(OfNode, Kill, "a", 31, 32)) }, ""},
-		"a stop and a crash":        {func(r *Record) { cutByStop(r, injectedFault(OfTarget, TargetCrash, "p1", 31, 32)) }, ""},
-		"a stop and another crash":  {func(r *Record) { cutByStop(r, injectedFault(OfTarget, TargetCrash, "e1", 31, 32)) }, PlannedStopClean},
+		"a stop and a kill":         {func(r *Record) { cutByStop(r, injectedFault(ScopeNode, Kill, "a", 31, 32)) }, ""},
+		"a stop and a crash":        {func(r *Record) { cutByStop(r, injectedFault(ScopeTarget, TargetCrash, "p1", 31, 32)) }, ""},
+		"a stop and another crash":  {func(r *Record) { cutByStop(r, injectedFault(ScopeTarget, TargetCrash, "e1", 31, 32)) }, PlannedStopClean},
 		"a stop cut its own stream": {func(r *Record) { cutByStop(r); r.Attempts[1].Left = true }, ""},
 		"lost on kept connections": {func(r *Record) {
 			for _, id := range []string{"1", "2", "3", "4"} {
--- a/internal/soak/judge_weights.go
+++ b/internal/soak/judge_weights.go
@@ -28,7 +28,7 @@
 	}
 	for _, o := range orders {
 		if !v.noFault(o.Arrived.Add(-v.Bounds.OrderGrace), o.Arrived, func(t InjectedFault) bool {
-			return !t.Until.IsZero() && !t.Until.After(o.Arrived) && (t.Kind == Pause && t.Subject == o.Holder || t.Scope == OfLink)
+			return !t.Until.IsZero() && !t.Until.After(o.Arrived) && (t.Kind == Pause && t.Subject == o.Holder || t.Scope == ScopeLink)
 		}) {
 			continue
 		}
@@ -52,9 +52,9 @@
 // while longer for the store's.
 func (v *verifier) disturbedUntil(t InjectedFault) (until time.Time, ok bool) {
 	switch t.Scope {
-	case OfLink:
+	case ScopeLink:
 		return t.end(v.Now), true
-	case OfStore:
+	case ScopeStore:
 		return t.end(v.Now).Add(v.Bounds.Contact), true
 	}
 	return time.Time{}, false
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -13,13 +13,13 @@
 // The scopes of troubles. No node is in touch for a while after one of the store,
 // nor after one of a link that all nodes use.
 const (
-	OfNode   Scope = "node"
-	OfLink   Scope = "link"
-	OfStore  Scope = "store"
-	OfTarget Scope = "target"
-	OfOrders Scope = "orders"
-	// OfPlan is a change that is no trouble.
-	OfPlan Scope = "plan"
+	ScopeNode   Scope = "node"
+	ScopeLink   Scope = "link"
+	ScopeStore  Scope = "store"
+	ScopeTarget Scope = "target"
+	ScopeOrders Scope = "orders"
+	// ScopePlanned is a change that is no trouble.
+	ScopePlanned Scope = "plan"
 )
 
 // InjectedFault is a fault as it was injected.
--- a/internal/soak/said.go
+++ b/internal/soak/said.go
@@ -29,7 +29,7 @@
 		defer s.release(sl)
 	}
 	r := s.replicaAt(sl)
-	defer s.beginFault(InjectedFault{Scope: OfTarget, Kind: step.Kind, Subject: r.ID})()
+	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
 	switch step.Kind {
 	case TargetHintsLimit:
 		r.SetHint(platformtest.HintLimit, strconv.FormatFloat(hintedLimit, 'f', -1, 64))
@@ -126,7 +126,7 @@
 
 // ranThroughout reports whether a node's process was not stopped meanwhile.
 func (v *verifier) ranThroughout(node string, from, to time.Time) bool {
-	return v.noFault(from, to, func(t InjectedFault) bool { return t.Scope == OfNode && t.Subject == node })
+	return v.noFault(from, to, func(t InjectedFault) bool { return t.Scope == ScopeNode && t.Subject == node })
 }
 
 // checkLimitHints checks that a target which names a limit gets no more than it allows of the nodes that it told.
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -231,7 +231,7 @@
 // onNodeExit takes a process that ended by itself, or in another way than it was told to.
 func (s *cluster) onNodeExit(n *node, state string) {
 	s.update(func(r *Record) {
-		r.Exits = append(r.Exits, InjectedFault{Scope: OfNode, Subject: n.name, Detail: state, From: time.Now()})
+		r.Exits = append(r.Exits, InjectedFault{Scope: ScopeNode, Subject: n.name, Detail: state, From: time.Now()})
 	})
 	time.AfterFunc(restartDelay, func() { s.recordError(s.startNode(n)) })
 }
