--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -159,13 +159,13 @@
 			break
 		}
 	}
-	lately := func(back int) int64 { return max(1, c.cluster.newestVersion()-int64(rand.IntN(back))) }
+	recentVersion := func(back int) int64 { return max(1, c.cluster.newestVersion()-int64(rand.IntN(back))) }
 	if a.Path == "" {
-		a.Path = versionPath(lately(routesRetained + 2))
+		a.Path = versionPath(recentVersion(routesRetained + 2))
 	}
 	switch rand.IntN(6) {
 	case 0:
-		a.Key = versionKey(lately(keysRetained + 1))
+		a.Key = versionKey(recentVersion(keysRetained + 1))
 	case 1:
 		a.Key = isolatedKey
 	}
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -62,23 +62,23 @@
 
 // checkSuspects checks that a request under which targets ended reaches few more, once that is known.
 func (v *verifier) checkSuspects() {
-	ended := make(map[string]map[string]bool)
+	crashed := make(map[string]map[string]bool)
 	known := make(map[string]time.Time)
-	late := make(map[string]int)
+	lateRuns := make(map[string]int)
 	for _, r := range v.Runs {
 		a := v.byID[r.ID]
 		if a == nil || !a.Deadly {
 			continue
 		}
-		if len(ended[r.Body]) >= crashThreshold && a.Sent.After(known[r.Body].Add(v.Bounds.Contact)) && v.inContact(a.Node, a.Sent, r.StartedAt) {
-			if late[r.Body]++; late[r.Body] == maxRunsOnceKnown+1 {
-				v.addViolation(SuspectsHeld, r.StartedAt, r.ID, "%d engines had ended under it %s before it was sent", len(ended[r.Body]), a.Sent.Sub(known[r.Body]))
+		if len(crashed[r.Body]) >= crashThreshold && a.Sent.After(known[r.Body].Add(v.Bounds.Contact)) && v.inContact(a.Node, a.Sent, r.StartedAt) {
+			if lateRuns[r.Body]++; lateRuns[r.Body] == maxRunsOnceKnown+1 {
+				v.addViolation(SuspectsHeld, r.StartedAt, r.ID, "%d engines had ended under it %s before it was sent", len(crashed[r.Body]), a.Sent.Sub(known[r.Body]))
 			}
 		}
-		if ended[r.Body] == nil {
-			ended[r.Body] = make(map[string]bool)
+		if crashed[r.Body] == nil {
+			crashed[r.Body] = make(map[string]bool)
 		}
-		if ended[r.Body][r.Replica] = true; len(ended[r.Body]) <= crashThreshold {
+		if crashed[r.Body][r.Replica] = true; len(crashed[r.Body]) <= crashThreshold {
 			known[r.Body] = r.StartedAt
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -225,8 +225,8 @@
 
 // replaceTarget has a new target take a place over. The old one leaves with or without a
 // word, and a while later another service takes its address.
-func (s *cluster) replaceTarget(ctx context.Context, step Step, old *slot) {
-	r := s.replicaAt(old)
+func (s *cluster) replaceTarget(ctx context.Context, step Step, oldSlot *slot) {
+	r := s.replicaAt(oldSlot)
 	if r.Service == foreignName {
 		return
 	}
@@ -237,7 +237,7 @@
 		s.recordError(err)
 		return
 	}
-	s.swapSlots(old, replacement)
+	s.swapSlots(oldSlot, replacement)
 	if step.Kind == TargetUnlist {
 		r.Unlist()
 	} else {
@@ -245,11 +245,11 @@
 	}
 	s.updateTarget(r.ID, func(t *Target) { t.DrainingSince = time.Now() })
 	wait(ctx, s.bounds.Drain+step.Length)
-	old.proxy.Close()
+	oldSlot.proxy.Close()
 	r.Shutdown()
 	s.updateTarget(r.ID, func(t *Target) { t.Ended = time.Now() })
 	wait(ctx, addressReuseDelay)
-	s.recordError(s.startTarget(old, s.newID(foreignName), foreignName, 0, time.Now()))
+	s.recordError(s.startTarget(oldSlot, s.newID(foreignName), foreignName, 0, time.Now()))
 }
 
 // swapSlots exchanges the places of two targets in the list.
--- a/internal/soak/judge_config.go
+++ b/internal/soak/judge_config.go
@@ -73,25 +73,25 @@
 }
 
 // add notes that a process had a configuration, or a newer one, at a time that is not before the others.
-func (e configHistory) add(at time.Time, place int) configHistory {
-	if len(e) > 0 && e[len(e)-1].place >= place {
+func (e configHistory) add(at time.Time, index int) configHistory {
+	if len(e) > 0 && e[len(e)-1].place >= index {
 		return e
 	}
 	return append(e, struct {
 		at    time.Time
 		place int
-	}{at, place})
+	}{at, index})
 }
 
 // newestBefore returns the newest configuration that was seen before a time.
 func (e configHistory) newestBefore(at time.Time) int {
-	place := 0
-	for _, one := range e {
-		if one.at.Before(at) {
-			place = one.place
+	index := 0
+	for _, entry := range e {
+		if entry.at.Before(at) {
+			index = entry.place
 		}
 	}
-	return place
+	return index
 }
 
 // outOfContactFactor is how many times longer a process that is not in touch may answer by an older configuration.
@@ -103,7 +103,7 @@
 		node string
 		boot int
 	}
-	had := make(map[process]configHistory)
+	histories := make(map[process]configHistory)
 	for _, s := range v.observations() {
 		first := v.oldestMatching(s, 0)
 		if first < 0 {
@@ -113,19 +113,19 @@
 		if s.run && v.keyRevoked(s) {
 			v.addViolation(KeysRevoked, s.at, s.a.ID, "%s ran %s after it was sent by %s", s.a.Key, s.at.Sub(s.a.Sent), s.a.Node)
 		}
-		touch := v.inContact(s.a.Node, s.a.Sent, s.at)
-		if index := v.newestInForce(s.a.Sent, v.Bounds.Apply); touch && v.oldestMatching(s, index) < 0 {
+		inContact := v.inContact(s.a.Node, s.a.Sent, s.at)
+		if index := v.newestInForce(s.a.Sent, v.Bounds.Apply); inContact && v.oldestMatching(s, index) < 0 {
 			v.addViolation(ConfigApplied, s.at, s.a.ID, "%s handled it as %+v, version %d was in force", s.a.Node, s.outcome, v.Configs[index].Config.Version)
 		}
 		p, slack := process{s.a.Node, s.a.Boot}, v.Bounds.StaleConfig
-		if !touch {
+		if !inContact {
 			slack *= outOfContactFactor
 		}
-		if index := had[p].newestBefore(s.a.Sent.Add(-slack)); v.oldestMatching(s, index) < 0 {
+		if index := histories[p].newestBefore(s.a.Sent.Add(-slack)); v.oldestMatching(s, index) < 0 {
 			v.addViolation(ConfigMonotonic, s.at, s.a.ID, "%s handled it as %+v after it had version %d", s.a.Node, s.outcome, v.Configs[index].Config.Version)
 		}
 		if s.run {
-			had[p] = had[p].add(s.at, first)
+			histories[p] = histories[p].add(s.at, first)
 		}
 	}
 }
@@ -157,12 +157,12 @@
 		if a.Done.IsZero() || a.Status < 300 || a.Status >= 500 || a.Seal != "" || a.refusedNotRun() {
 			continue
 		}
-		proper := !slices.ContainsFunc(v.Configs, func(c ConfigWrite) bool {
+		allowed := !slices.ContainsFunc(v.Configs, func(c ConfigWrite) bool {
 			h := expectedOutcome(c.Config, a.Path, a.Key)
 			return h.noPath || h.noKey
 		})
 		switch {
-		case !proper:
+		case !allowed:
 		case v.inContact(a.Node, a.Sent, a.Done):
 			inContact, last = append(inContact, a.ID), a.Done
 		default:
--- a/internal/soak/judge_weights.go
+++ b/internal/soak/judge_weights.go
@@ -36,14 +36,14 @@
 			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "%s and %s with fence %d", h, o.Holder, o.Fence)
 		}
 		holders[o.Fence] = o.Holder
-		before, ok := last[o.Replica]
+		previous, ok := last[o.Replica]
 		last[o.Replica] = o
 		switch {
 		case !ok:
-		case o.Fence < before.Fence:
-			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "fence %d of %s after %d of %s", o.Fence, o.Holder, before.Fence, before.Holder)
-		case o.Holder != before.Holder && o.Arrived.Sub(before.Arrived) < v.Bounds.Lease:
-			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "%s %s after %s", o.Holder, o.Arrived.Sub(before.Arrived), before.Holder)
+		case o.Fence < previous.Fence:
+			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "fence %d of %s after %d of %s", o.Fence, o.Holder, previous.Fence, previous.Holder)
+		case o.Holder != previous.Holder && o.Arrived.Sub(previous.Arrived) < v.Bounds.Lease:
+			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "%s %s after %s", o.Holder, o.Arrived.Sub(previous.Arrived), previous.Holder)
 		}
 	}
 }
