--- a/internal/e2e/answers_test.go
+++ b/internal/e2e/answers_test.go
@@ -15,16 +15,16 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// Promise 2: complete and in order.
+// Guarantee 2: answers are complete and in order.
 
 func TestEngineBreaksAtEveryChunk(t *testing.T) {
 	t.Parallel()
-	// Each request breaks twice, which the usual budget of retries would not bear.
+	// The stream of each request breaks twice, which exceeds the default retry budget.
 	config := strings.Replace(exampleConfig(t), "retryBudget: 0.1", "retryBudget: 1", 1)
 	s := newSystem(t, setup{engines: 2, routers: 1, config: config})
 	c := s.client(s.routers[0])
 	const tokens = 6
-	// Six texts, the finish mark and the usage.
+	// The stream has one chunk per token, one with the finish reason and one with the usage.
 	for at := 1; at <= tokens+2; at++ {
 		for _, e := range s.engines {
 			s.setFaults(e, standin.Faults{BreakAt: at, BreakCount: 1})
@@ -38,7 +38,8 @@
 	s.checkNoRepeatedDecode()
 }
 
-// checkNoRepeatedDecode is the oracle for paid work: what was delivered is not decoded again.
+// checkNoRepeatedDecode checks that a second attempt does not decode tokens that the first one
+// had already delivered, since callers pay for decoded tokens.
 func (s *system) checkNoRepeatedDecode() {
 	s.t.Helper()
 	for _, r := range s.allRuns() {
@@ -47,7 +48,7 @@
 		}
 		for _, other := range s.allRuns() {
 			if other.Request == r.Request && strings.HasSuffix(other.Attempt, "-1") {
-				require.GreaterOrEqual(s.t, r.ResumedAt, other.Emitted-1, "run %s begins again at %d after %d", r.Attempt, r.ResumedAt, other.Emitted)
+				require.GreaterOrEqual(s.t, r.ResumedAt, other.Emitted-1, "run %s resumes at token %d although %d were emitted", r.Attempt, r.ResumedAt, other.Emitted)
 			}
 		}
 	}
@@ -57,6 +58,7 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 1})
 	c := s.client(s.routers[0])
+	// The names are part of the prompts.
 	cases := map[string]standin.Faults{
 		"repeated":       {DupAt: 3},
 		"exchanged":      {SwapAt: 3},
@@ -93,7 +95,7 @@
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer demo-formosa-air")
 	r := s.doRequest(req)
-	require.Zero(t, r.status, "the connection of a broken stream is cut, so that reading it fails: %s", r.body)
+	require.Zero(t, r.status, "the router closes the connection of a broken stream early, so that reading it fails: %s", r.body)
 
 	res := s.send(s.client(s.routers[0]), promptRequest("formosa-air", "t", "x", 200))
 	require.True(t, res.Cut)
@@ -129,7 +131,7 @@
 	}
 }
 
-// Promise 4: one's own answer.
+// Guarantee 4: callers receive the answers to their own requests only.
 
 func TestAnswersMatchRequests(t *testing.T) {
 	t.Parallel()
@@ -142,12 +144,13 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if i%4 == 0 {
-				// A caller that leaves in the middle gives its connections back for reuse.
+				// A caller that disconnects in the middle of an answer returns connections for
+				// reuse.
 				time.AfterFunc(15*time.Millisecond, cancel)
 			}
 			r := c.Do(ctx, promptRequest("formosa-air", "rules", fmt.Sprint(i), 12))
 			if r.Wrong {
-				t.Errorf("request %s got another's answer: %q", r.Request, r.Text)
+				t.Errorf("request %s received the answer to another request: %q", r.Request, r.Text)
 			}
 			if i%4 != 0 && !r.OK() && r.Verdict == "" && !r.Cut {
 				t.Errorf("request %d: %+v", i, r)
@@ -157,8 +160,8 @@
 	wg.Wait()
 }
 
-// An answer whose head says that it comes from another incarnation, other weights
-// or to another attempt is not passed on, whatever else is right with it.
+// The router does not forward an answer whose header names another incarnation, other weights
+// or another attempt, even if the answer is correct otherwise.
 func TestAnswerOfAnotherIsDropped(t *testing.T) {
 	t.Parallel()
 	cases := map[string]standin.Faults{
@@ -183,7 +186,7 @@
 	}
 }
 
-// Promise 5: not run means not run.
+// Guarantee 5: a request that is answered as not run has not run.
 
 func TestNotRunVerdictIsTrue(t *testing.T) {
 	t.Parallel()
@@ -227,7 +230,7 @@
 	require.Positive(t, counts["not-run"])
 	for _, e := range append(s.engines, s.services...) {
 		for _, run := range s.runs(e) {
-			require.NotContains(t, notRun, run.Request, "%s ran and was answered not-run", run.Request)
+			require.NotContains(t, notRun, run.Request, "request %s ran although it was answered as not-run", run.Request)
 		}
 	}
 }
--- a/internal/e2e/cached_test.go
+++ b/internal/e2e/cached_test.go
@@ -10,16 +10,17 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// infrequentPolling keeps routers from polling within a test, so that what they believe is stale.
+// infrequentPolling keeps routers from polling within a test, so that their view of the
+// targets is stale.
 var infrequentPolling = []string{"--poll-every", "10s"}
 
-// Promise 1: cached entries.
+// Guarantee 1: answers use cached blocks of the same organisation and weights only.
 
 func TestEngineRestartsUnderSameAddress(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct{ engineFlags []string }{
-		"engine checks what is expected":    {},
-		"engine checks nothing, but echoes": {engineFlags: []string{"--no-checks-expect"}},
+		"engine checks what the router expects": {},
+		"engine only reports its incarnation":   {engineFlags: []string{"--no-checks-expect"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,8 +42,8 @@
 	}
 }
 
-// checkCacheIsolation is the oracle of promise 1: an answer that was passed on used no
-// block that another organisation or other weights filled.
+// checkCacheIsolation checks that no run used a cached block that a run of another organisation
+// or with other weights had filled.
 func (s *system) checkCacheIsolation() {
 	s.t.Helper()
 	filled := make(map[string]standin.Run)
@@ -53,8 +54,8 @@
 	for _, r := range runs {
 		for _, from := range r.UsedFrom {
 			other, ok := filled[r.Incarnation+from]
-			require.True(s.t, ok, "run %s used blocks of %s, which is not in the log", r.Request, from)
-			require.Equal(s.t, r.Salt, other.Salt, "run %s used blocks of %s", r.Request, from)
+			require.True(s.t, ok, "run %s used blocks of %s, which is not in the run log", r.Request, from)
+			require.Equal(s.t, r.Salt, other.Salt, "run %s used blocks of %s, which has another salt", r.Request, from)
 			require.Equal(s.t, r.Weights, other.Weights)
 		}
 	}
@@ -76,7 +77,7 @@
 			cached++
 		}
 	}
-	require.Equal(t, 4, cached, "each organisation's later requests hit its own blocks, and only the first of each is cold")
+	require.Equal(t, 4, cached, "all requests but the first of each organisation hit blocks of that organisation")
 }
 
 func TestWeightsChangedUnderRouter(t *testing.T) {
@@ -93,7 +94,7 @@
 	}, "the engine has new weights")
 	for i := range 4 {
 		r := s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(i), 4))
-		require.True(t, r.OK(), "an answer is of the weights that the router declared: %+v", r)
+		require.True(t, r.OK(), "the answer comes from the weights that the router declares: %+v", r)
 	}
 	s.checkCacheIsolation()
 }
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -12,18 +12,18 @@
 	"github.com/pathhead/pathhead/route"
 )
 
-// crashText is what engines end on.
+// crashText makes an engine crash when it begins to run a request that contains it.
 const crashText = "a text that ends engines"
 
-// crashingRequest is a request that ends each engine which begins to run it.
+// crashingRequest returns a request that crashes each engine that begins to run it.
 func crashingRequest() load.Arrival {
 	a := promptRequest("formosa-air", "rules", "a", 4)
 	a.Messages = append(a.Messages, load.Message{Role: "user", Content: crashText})
 	return a
 }
 
-// A request that ends each engine which begins to run it is held back once three have ended,
-// at whichever router its copies come; others are answered, as soon as an engine is there.
+// A request that crashes each engine that begins to run it is held as a suspect once three
+// engines have crashed, at all routers. Other requests are answered as soon as an engine runs.
 func TestRequestEndsEngines(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 5, routers: 2, engineFlags: []string{"--crash-on", crashText}})
@@ -61,21 +61,22 @@
 	s.eventually(func() bool {
 		asked += 2
 		return held(asked) && held(asked+1)
-	}, "both routers hold the request back")
-	// An engine is counted once its process was waited for, which may be after its copy was answered.
+	}, "both routers hold the request as a suspect")
+	// A crash is counted once the engine's process has been waited for, which may be after the
+	// answer to the copy that caused it.
 	known := ended.Load()
 	s.eventually(func() bool {
 		before := known
 		time.Sleep(500 * time.Millisecond)
 		known = ended.Load()
 		return known == before
-	}, "all engines that ended are counted")
-	t.Logf("%d engines ended before both routers held the request back", known)
+	}, "all crashes are counted")
+	t.Logf("%d engines crashed before both routers held the request", known)
 	require.GreaterOrEqual(t, known, int64(3))
 	for n := range 10 {
 		require.True(t, held(n))
 	}
 	time.Sleep(500 * time.Millisecond)
-	require.Equal(t, known, ended.Load(), "no engine ends once it is held back")
-	s.eventually(func() bool { return s.send(clients[0], promptRequest("formosa-air", "rules", "b", 4)).OK() }, "others are answered")
+	require.Equal(t, known, ended.Load(), "no engine crashes once the request is held")
+	s.eventually(func() bool { return s.send(clients[0], promptRequest("formosa-air", "rules", "b", 4)).OK() }, "other requests are answered")
 }
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e holds the tests that run pathhead's programs as real processes
-// with the stand-ins beside them, and kill, freeze and cut them.
+// Package e2e contains tests that run pathhead's programs and the stand-ins as real processes,
+// and that kill, suspend and disconnect them.
 package e2e
--- a/internal/e2e/docs_test.go
+++ b/internal/e2e/docs_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProofs keeps docs/PROOFS.md true: every test it names exists.
+// TestProofs checks that every test that docs/PROOFS.md names exists.
 func TestProofs(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/PROOFS.md")
 	require.NoError(t, err)
@@ -23,6 +23,6 @@
 	names := regexp.MustCompile(`Test[A-Z][A-Za-z0-9]+`).FindAllString(string(doc), -1)
 	require.NotEmpty(t, names)
 	for _, name := range names {
-		require.True(t, exists[name], "%s is named in docs/PROOFS.md and does not exist", name)
+		require.True(t, exists[name], "docs/PROOFS.md names %s, which does not exist", name)
 	}
 }
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/pathhead/pathhead/wire"
 )
 
-// orderRecord is an order as an engine logged it.
+// orderRecord is an order in the log of an engine.
 type orderRecord struct {
 	wire.Order
 	At       time.Time `json:"at"`
@@ -29,13 +29,14 @@
 	return out
 }
 
-// rollout applies the configuration with other weights without waiting for the engines.
+// rollout applies the configuration with other weights, and does not wait for the engines.
 func (s *system) rollout(weights string) {
 	s.t.Helper()
 	s.applyConfig(strings.Replace(s.setup.config, "weights: w1", "weights: "+weights, 1))
 }
 
-// serving returns how many engines have the weights loaded, and how many any.
+// serving returns the number of engines that have the given weights loaded, and the number
+// that have any weights loaded.
 func (s *system) serving(weights string) (with, any int) {
 	for _, e := range s.engines {
 		var st wire.State
@@ -60,8 +61,8 @@
 	}, "all engines have weights %s", weights)
 }
 
-// checkOrders is the oracle of fencing: at no engine does an order with an older
-// number take effect after one with a newer, and none is sent to one that runs.
+// checkOrders checks fencing: no engine accepts an order with a lower fencing token after one
+// with a higher token.
 func (s *system) checkOrders() {
 	s.t.Helper()
 	for _, e := range s.engines {
@@ -70,13 +71,13 @@
 			if !o.Accepted {
 				continue
 			}
-			require.GreaterOrEqual(s.t, o.Fence, top, "engine %s took an order of fence %d after %d", e.name, o.Fence, top)
+			require.GreaterOrEqual(s.t, o.Fence, top, "engine %s accepted an order with fence %d after one with %d", e.name, o.Fence, top)
 			top = max(top, o.Fence)
 		}
 	}
 }
 
-// fleetStatus is the status of a fleet process.
+// fleetStatus returns the status of a fleet process, and whether the process answered.
 func (s *system) fleetStatus(p *routerProc) (controller.Status, bool) {
 	var st controller.Status
 	err := s.getJSON(p.operatorAddr, "/v1/status", &st)
@@ -105,7 +106,7 @@
 	t.Parallel()
 	s := newSystem(t, setup{engines: 4, routers: 2, fleets: 2})
 	s.leaseHolder()
-	// Answers are right under either weights while both serve.
+	// While engines with either weights serve, answers of both are correct.
 	c := s.client(s.routers...)
 	var (
 		mu         sync.Mutex
@@ -116,7 +117,7 @@
 		mu.Lock()
 		if r.Cut || r.Status != 200 {
 			cut++
-			t.Errorf("request during the rollout: %+v", r)
+			t.Errorf("request during the rolling update: %+v", r)
 		}
 		mu.Unlock()
 	})
@@ -129,8 +130,8 @@
 	s.awaitWeights("w2")
 	stopAsking()
 	stopCounting()
-	require.Zero(t, cut, "no answer is cut or refused by a rollout")
-	require.GreaterOrEqual(t, least, 2, "the floor is kept")
+	require.Zero(t, cut, "a weights rolling update cuts or refuses no answer")
+	require.GreaterOrEqual(t, least, 2, "at least as many engines as the floor requires serve throughout")
 	s.checkOrders()
 	s.checkCacheIsolation()
 }
@@ -140,11 +141,11 @@
 		engineFlags []string
 		fault       func(s *system, holder *routerProc)
 	}{
-		"killed, engines check fencing":  {engineFlags: []string{"--checks-fencing"}, fault: func(_ *system, h *routerProc) { h.kill() }},
-		"killed, engines check nothing":  {fault: func(_ *system, h *routerProc) { h.kill() }},
-		"frozen, engines check fencing":  {engineFlags: []string{"--checks-fencing"}, fault: suspendHolder},
-		"frozen, engines check nothing":  {fault: suspendHolder},
-		"table out for longer than that": {fault: tableOutage},
+		"killed, engines check fencing":    {engineFlags: []string{"--checks-fencing"}, fault: func(_ *system, h *routerProc) { h.kill() }},
+		"killed, no fencing at engines":    {fault: func(_ *system, h *routerProc) { h.kill() }},
+		"suspended, engines check fencing": {engineFlags: []string{"--checks-fencing"}, fault: suspendHolder},
+		"suspended, no fencing at engines": {fault: suspendHolder},
+		"table unavailable past the lease": {fault: tableOutage},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -152,7 +153,7 @@
 			s := newSystem(t, setup{engines: 3, routers: 1, fleets: 2, engineFlags: c.engineFlags})
 			s.rollout("w2")
 			holder := s.leaseHolder()
-			s.eventually(func() bool { with, _ := s.serving("w2"); return with > 0 }, "the rollout began")
+			s.eventually(func() bool { with, _ := s.serving("w2"); return with > 0 }, "the rolling update has begun")
 			c.fault(s, holder)
 			s.awaitWeights("w2")
 			s.checkOrders()
@@ -165,7 +166,8 @@
 	}
 }
 
-// suspendHolder stops the holder past its lease, with a rollout under way, and lets it wake.
+// suspendHolder suspends the lease holder until another process holds the lease, and then
+// resumes it.
 func suspendHolder(s *system, holder *routerProc) {
 	holder.signal(syscall.SIGSTOP)
 	s.eventually(func() bool {
@@ -181,7 +183,7 @@
 			}
 		}
 		return false
-	}, "the other process takes the lease")
+	}, "another process acquires the lease")
 	holder.signal(syscall.SIGCONT)
 }
 
@@ -202,12 +204,12 @@
 		st, ok := s.fleetStatus(s.fleets[0])
 		for _, p := range st.Pools {
 			if ok && len(p.Stopped) > 0 {
-				require.Contains(t, p.Stopped["desk-7b w2"], "failed its probe")
+				require.Contains(t, p.Stopped["desk-7b w2"], "probe failed")
 				return true
 			}
 		}
 		return false
-	}, "the rollout stops by itself and says why")
+	}, "the rolling update stops by itself and reports the reason")
 	for _, e := range s.engines {
 		s.setFaults(e, standin.Faults{})
 	}
@@ -222,7 +224,7 @@
 	s.leaseHolder()
 	s.rollout("w2")
 	s.awaitWeights("w2")
-	// It comes back with the weights of its flags, which are not the declared ones.
+	// The engine restarts with the weights from its flags, which are not the configured ones.
 	s.engines[0].restart()
 	s.await(s.engines[0].addr, "/engine/state")
 	s.awaitWeights("w2")
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -25,7 +25,7 @@
 	"github.com/pathhead/pathhead/router"
 )
 
-// binaries is where the programs are.
+// binaries is the folder with the compiled programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	os.Exit(code)
 }
 
-// proc is a running process.
+// proc is a process that a test runs, and can restart.
 type proc struct {
 	t      *testing.T
 	name   string
@@ -46,7 +46,7 @@
 	exited chan struct{}
 }
 
-// lockedBuffer keeps a process's log.
+// lockedBuffer is a buffer for concurrent use that holds a process's log.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -64,7 +64,7 @@
 	return l.b.String()
 }
 
-// start runs a program until the test ends.
+// start runs a program until the end of the test, and prints its log if the test fails.
 func start(t *testing.T, name, program string, args ...string) *proc {
 	t.Helper()
 	p := &proc{t: t, name: name, args: append([]string{program}, args...), log: &lockedBuffer{}}
@@ -118,13 +118,13 @@
 	p.run()
 }
 
-// ports hands out each port once in a run, since tests run side by side.
+// ports records the ports in use. Tests run in parallel, so each port is used once per run.
 var ports struct {
 	mu    sync.Mutex
 	taken map[int]bool
 }
 
-// freeAddrs returns addresses that are free.
+// freeAddrs returns n loopback addresses with free ports.
 func freeAddrs(t *testing.T, n int) []netip.AddrPort {
 	t.Helper()
 	ports.mu.Lock()
@@ -145,13 +145,13 @@
 	return out
 }
 
-// routerProc is a router or fleet process and its doors.
+// routerProc is a router or fleet process with its addresses for callers, operators and peers.
 type routerProc struct {
 	*proc
 	callerAddr, operatorAddr, peerAddr netip.AddrPort
 }
 
-// targetProc is a stand-in target.
+// targetProc is a stand-in process: a target, or a part of the platform.
 type targetProc struct {
 	*proc
 	addr netip.AddrPort
@@ -159,13 +159,13 @@
 	kind string
 }
 
-// setup describes a deployment.
+// setup configures a deployment.
 type setup struct {
 	engines  int
 	services int
 	routers  int
 	fleets   int
-	// engineFlags and routerFlags are added to each process.
+	// engineFlags and routerFlags are added to the flags of each engine and router.
 	engineFlags []string
 	routerFlags []string
 	config      string
@@ -215,7 +215,7 @@
 	return sys
 }
 
-// exampleConfig is Yunfeng's example.
+// exampleConfig returns the example configuration of Yunfeng.
 func exampleConfig(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/yunfeng.yaml")
@@ -228,7 +228,7 @@
 	return &targetProc{proc: start(s.t, name, "pathhead-standin", args...), addr: addr, name: name, kind: kind}
 }
 
-// startRouters starts the routers and waits until their operators' doors answer.
+// startRouters starts the routers and waits until their operator addresses answer.
 func (s *system) startRouters() {
 	s.startProcesses()
 	for _, r := range s.routers {
@@ -279,7 +279,7 @@
 	}
 }
 
-// setVMList tells the VM list of the targets; those in leaving are marked so.
+// setVMList sets the VM list to the targets, with those in draining marked accordingly.
 func (s *system) setVMList(draining ...netip.AddrPort) {
 	s.t.Helper()
 	type group struct {
@@ -303,7 +303,7 @@
 	s.post(s.vms.addr, "/standin/vms", groups)
 }
 
-// ctl runs pathheadctl and returns its output.
+// ctl runs pathheadctl against all routers and returns its output.
 func (s *system) ctl(args ...string) (string, error) {
 	var addrs []string
 	for _, r := range s.routers {
@@ -314,7 +314,7 @@
 	return string(out), err
 }
 
-// applyConfig offers a configuration and waits until it is in force.
+// applyConfig applies a configuration and waits until it is in force.
 func (s *system) applyConfig(config string) {
 	s.t.Helper()
 	file := filepath.Join(s.t.TempDir(), "config.yaml")
@@ -323,7 +323,7 @@
 	require.NoError(s.t, err, out)
 }
 
-// awaitRouters waits until every router serves and has polled its targets.
+// awaitRouters waits until every router is ready and has polled all targets.
 func (s *system) awaitRouters() {
 	s.t.Helper()
 	for _, r := range s.routers {
@@ -343,7 +343,7 @@
 			}
 		}
 		return ok && n >= len(s.engines)+len(s.services)
-	}, "router %s has seen its targets", r.name)
+	}, "router %s has polled all targets", r.name)
 }
 
 func (s *system) status(r *routerProc) (router.Status, bool) {
@@ -352,13 +352,13 @@
 	return st, err == nil
 }
 
-// await waits until a GET is answered with status 200.
+// await waits until a GET returns status 200.
 func (s *system) await(addr netip.AddrPort, path string) {
 	s.t.Helper()
 	s.eventually(func() bool { return s.getJSON(addr, path, nil) == nil }, "%s answers at %s", addr, path)
 }
 
-// waitTimeout bounds every wait; nothing is judged by how long it took.
+// waitTimeout bounds every wait. No assertion depends on how long a wait took.
 const waitTimeout = 30 * time.Second
 
 func (s *system) eventually(f func() bool, format string, args ...any) {
@@ -366,7 +366,7 @@
 	end := time.Now().Add(waitTimeout)
 	for !f() {
 		if time.Now().After(end) {
-			s.t.Fatalf("never: "+format, args...)
+			s.t.Fatalf("timed out waiting: "+format, args...)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -408,7 +408,7 @@
 	s.post(p.addr, "/standin/faults", f)
 }
 
-// runs returns the run log of a target: the oracle of what truly ran.
+// runs returns the run log of a target, which shows what actually ran.
 func (s *system) runs(p *targetProc) []standin.Run {
 	s.t.Helper()
 	var out []standin.Run
@@ -416,7 +416,7 @@
 	return out
 }
 
-// allRuns returns the runs of all engines that answer.
+// allRuns returns the runs of all engines that respond.
 func (s *system) allRuns() []standin.Run {
 	var out []standin.Run
 	for _, e := range s.engines {
@@ -428,7 +428,7 @@
 	return out
 }
 
-// client returns a caller of some routers.
+// client returns a client that sends requests to the given routers.
 func (s *system) client(routers ...*routerProc) *load.Client {
 	var addrs []netip.AddrPort
 	for _, r := range routers {
@@ -439,7 +439,8 @@
 	return c
 }
 
-// promptRequest is a request with a long prompt whose last part is its own.
+// promptRequest returns a request with a long prompt. Requests with the same topic share all
+// parts of it but the last.
 func promptRequest(org, topic, userText string, tokens int) load.Arrival {
 	return load.Arrival{
 		Org: org, Model: "desk-7b", MaxTokens: tokens,
@@ -457,7 +458,8 @@
 	return c.Do(ctx, a)
 }
 
-// repeatUntilStopped calls f with rising n, over and over in each of some goroutines, until stop is called.
+// repeatUntilStopped calls f repeatedly, with increasing n, in each of several goroutines until
+// stop is called.
 func repeatUntilStopped(workers int, f func(worker, n int)) (stop func()) {
 	var wg sync.WaitGroup
 	ended := make(chan struct{})
@@ -479,7 +481,7 @@
 	}
 }
 
-// reply is the answer to a plain call.
+// reply is the answer to a plain HTTP call.
 type reply struct {
 	status   int
 	verdict  string
@@ -489,7 +491,8 @@
 	header   http.Header
 }
 
-// call posts a keyed call to a router; a cut connection has status 0.
+// call posts a call with an idempotency key to a router. The status is 0 if the connection
+// was cut.
 func (s *system) call(r *routerProc, path, key, body string) reply {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.callerAddr.String()+path, strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -521,7 +524,7 @@
 	if json.Unmarshal(data, &e) == nil {
 		out.code = e.Error.Code
 		if e.Error.Verdict != "" {
-			require.Equal(s.t, out.verdict, e.Error.Verdict, "header and body agree")
+			require.Equal(s.t, out.verdict, e.Error.Verdict, "header and body have the same verdict")
 		}
 	}
 	return out
--- a/internal/e2e/leaving_test.go
+++ b/internal/e2e/leaving_test.go
@@ -12,14 +12,14 @@
 	"github.com/pathhead/pathhead/internal/load"
 )
 
-// Promise 7: leaving.
+// Guarantee 7: draining targets receive no new requests.
 
 func TestDrainingGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	cases := map[string]func(s *system, e *targetProc){
-		"by its own word": func(s *system, e *targetProc) { s.post(e.addr, "/standin/leave", struct{}{}) },
-		"by the list":     func(s *system, e *targetProc) { s.setVMList(e.addr) },
-		"by an operator": func(s *system, e *targetProc) {
+		"announced by the target": func(s *system, e *targetProc) { s.post(e.addr, "/standin/leave", struct{}{}) },
+		"marked in the list":      func(s *system, e *targetProc) { s.setVMList(e.addr) },
+		"requested by an operator": func(s *system, e *targetProc) {
 			s.post(s.routers[0].operatorAddr, "/v1/leave?target="+e.addr.String(), struct{}{})
 		},
 	}
@@ -31,14 +31,15 @@
 			draining := s.engines[0]
 			begun := time.Now()
 			startDraining(s, draining)
-			s.eventually(func() bool { return s.seenDraining(draining) }, "every router knows")
-			t.Logf("every router knows after %s", time.Since(begun).Round(time.Millisecond))
-			s.setVMList() // The list, lagging, says that it lives.
+			s.eventually(func() bool { return s.seenDraining(draining) }, "every router marks the target as draining")
+			t.Logf("every router marks the target as draining after %s", time.Since(begun).Round(time.Millisecond))
+			// The list lags and still has the target as ready.
+			s.setVMList()
 			before := len(s.runs(draining))
 			for i := range 24 {
 				require.True(t, s.send(c, promptRequest("formosa-air", fmt.Sprint(i), fmt.Sprint(i), 2)).OK())
 			}
-			require.Len(t, s.runs(draining), before, "it gets no new work")
+			require.Len(t, s.runs(draining), before, "the draining target receives no new requests")
 		})
 	}
 }
@@ -58,7 +59,7 @@
 	return true
 }
 
-// Promise 8: a planned stop.
+// Guarantee 8: a planned stop cuts no requests.
 
 func TestPlannedStopCutsNothing(t *testing.T) {
 	t.Parallel()
@@ -70,11 +71,11 @@
 			results[i] = s.send(s.client(s.routers[0]), promptRequest("formosa-air", "t", fmt.Sprint(i), 700))
 		})
 	}
-	s.eventually(func() bool { return len(s.allRuns()) == len(results) }, "all answers began")
+	s.eventually(func() bool { return len(s.allRuns()) == len(results) }, "all answers have begun")
 	s.routers[0].signal(syscall.SIGTERM)
-	s.eventually(func() bool { return s.getJSON(s.routers[0].callerAddr, "/readyz", nil) != nil }, "readiness is off")
+	s.eventually(func() bool { return s.getJSON(s.routers[0].callerAddr, "/readyz", nil) != nil }, "the router is not ready any more")
 	late := s.send(s.client(s.routers...), promptRequest("formosa-air", "t", "late", 2))
-	require.True(t, late.OK() || late.Verdict == "not-run", "while the balancer lags, a request is served or not run: %+v", late)
+	require.True(t, late.OK() || late.Verdict == "not-run", "a request that the balancer still sends to the stopping router is served or not run: %+v", late)
 	engine := s.engines[0]
 	engine.signal(syscall.SIGTERM)
 	wg.Wait()
@@ -85,7 +86,7 @@
 		select {
 		case <-done:
 		case <-time.After(waitTimeout):
-			t.Fatal("a stopped process does not end")
+			t.Fatal("a process does not exit after SIGTERM")
 		}
 	}
 }
--- a/internal/e2e/once_test.go
+++ b/internal/e2e/once_test.go
@@ -13,7 +13,7 @@
 	"github.com/pathhead/pathhead/internal/standin"
 )
 
-// Promise 6: at most once.
+// Guarantee 6: a call runs at most once.
 
 func TestSameKeyAtTwoRouters(t *testing.T) {
 	t.Parallel()
@@ -38,7 +38,7 @@
 	for k := range 6 {
 		r := s.call(s.routers[0], "/checkin/seat", fmt.Sprint("key", k), "seat 4A")
 		require.Equal(t, http.StatusOK, r.status, r.body)
-		require.True(t, r.replayed, "a recorded outcome is given again")
+		require.True(t, r.replayed, "the recorded outcome is replayed")
 		r = s.call(s.routers[1], "/checkin/seat", fmt.Sprint("key", k), "seat 9F")
 		require.Equal(t, http.StatusUnprocessableEntity, r.status)
 		require.Equal(t, "idempotency_key_reused", r.code)
@@ -46,7 +46,7 @@
 	s.checkAtMostOnce()
 }
 
-// checkAtMostOnce is the oracle of promise 6: no key is twice in the services' run logs.
+// checkAtMostOnce checks that no key occurs twice in the run logs of the services.
 func (s *system) checkAtMostOnce() {
 	s.t.Helper()
 	runs := make(map[string]int)
@@ -63,7 +63,7 @@
 	s := newSystem(t, setup{services: 1, routers: 2})
 	seat := func(r *routerProc, key string) reply { return s.call(r, "/checkin/seat", key, "seat 4A") }
 
-	t.Run("table out", func(t *testing.T) {
+	t.Run("table unavailable", func(t *testing.T) {
 		s.setFaults(s.table, standin.Faults{Down: true})
 		defer s.setFaults(s.table, standin.Faults{})
 		r := seat(s.routers[0], "out")
@@ -71,7 +71,7 @@
 		require.Equal(t, "not-run", r.verdict)
 		require.NotEmpty(t, r.header.Get("Retry-After"))
 	})
-	t.Run("reply cut after it ran", func(t *testing.T) {
+	t.Run("answer cut after the call ran", func(t *testing.T) {
 		s.setFaults(s.services[0], standin.Faults{BreakAt: 1, BreakCount: 1})
 		defer s.setFaults(s.services[0], standin.Faults{})
 		r := seat(s.routers[0], "cut")
@@ -79,17 +79,17 @@
 		for _, router := range s.routers {
 			r := seat(router, "cut")
 			require.Equal(t, http.StatusConflict, r.status, r.body)
-			require.Equal(t, "may-have-run", r.verdict, "a claim without an outcome says so for ever")
+			require.Equal(t, "may-have-run", r.verdict, "a claim without a recorded outcome remains may-have-run")
 		}
 	})
-	t.Run("refused before it ran", func(t *testing.T) {
+	t.Run("refused before the call ran", func(t *testing.T) {
 		s.setFaults(s.services[0], standin.Faults{RefuseAll: true})
 		r := seat(s.routers[0], "refused")
 		require.Equal(t, "not-run", r.verdict, r.body)
 		s.setFaults(s.services[0], standin.Faults{})
 		s.eventually(func() bool { return seat(s.routers[1], "refused").status == http.StatusOK }, "the released key can be used again")
 	})
-	t.Run("error of the service is its outcome", func(t *testing.T) {
+	t.Run("error of the service is recorded as outcome", func(t *testing.T) {
 		s.setFaults(s.services[0], standin.Faults{FailAfterRun: true})
 		r := seat(s.routers[0], "failed")
 		require.Equal(t, http.StatusInternalServerError, r.status)
@@ -105,7 +105,8 @@
 	t.Parallel()
 	s := newSystem(t, setup{services: 1, routers: 2})
 	stop := repeatUntilStopped(4, func(i, n int) {
-		// A key is tried through the killed router and then, as the balancer does, through the other.
+		// Each key is sent to the router that fails and then to the other one, as a balancer
+		// would.
 		key := fmt.Sprintf("k%d-%d", i, n)
 		s.call(s.routers[0], "/checkin/seat", key, "x")
 		s.call(s.routers[1], "/checkin/seat", key, "x")
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathhead/pathhead/internal/standin"
 )
 
-// TestOpenAIClient drives the path with the official client library, as a caller would.
+// TestOpenAIClient sends requests through a router with the official client library.
 func TestOpenAIClient(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 3, services: 1, routers: 2})
@@ -81,8 +81,8 @@
 	})
 }
 
-// TestBadInput sends what is wrong in itself and checks that it is answered with
-// a clear error and the verdict not-run, and that nothing was forwarded.
+// TestBadInput sends invalid requests and checks that each is answered with a specific error
+// code and the verdict not-run, and that nothing was forwarded.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, services: 1, routers: 1})
@@ -96,22 +96,22 @@
 		status int
 		code   string
 	}{
-		"no key":              {path: "/v1/chat/completions", key: "-", body: good, status: 401, code: "invalid_api_key"},
-		"wrong key":           {path: "/v1/chat/completions", key: "nope", body: good, status: 401, code: "invalid_api_key"},
-		"unknown model":       {path: "/v1/chat/completions", body: `{"model":"x","messages":[{"role":"user","content":"x"}]}`, status: 404, code: "model_not_found"},
-		"unknown adapter":     {path: "/v1/chat/completions", body: `{"model":"desk-7b:x","messages":[{"role":"user","content":"x"}]}`, status: 404, code: "model_not_found"},
-		"broken JSON":         {path: "/v1/chat/completions", body: `{"model":`, status: 400, code: "invalid_request"},
-		"not an object":       {path: "/v1/chat/completions", body: `null`, status: 400, code: "invalid_request"},
-		"no messages":         {path: "/v1/chat/completions", body: `{"model":"desk-7b","messages":[]}`, status: 400, code: "invalid_request"},
-		"wrong type":          {path: "/v1/chat/completions", body: `{"model":"desk-7b","messages":"x"}`, status: 400, code: "invalid_request"},
-		"someone else's salt": {path: "/v1/chat/completions", body: `{"model":"desk-7b","cache_salt":"x","messages":[{"role":"user","content":"x"}]}`, status: 400, code: "invalid_request"},
-		"too long a prompt":   {path: "/v1/completions", body: `{"model":"desk-7b","prompt":"` + strings.Repeat("x", 140000) + `"}`, status: 400, code: "context_length_exceeded"},
-		"too large a body":    {path: "/v1/completions", body: strings.Repeat("x", 5<<20), status: 413, code: "body_too_large"},
-		"unknown route":       {path: "/nowhere/", body: "{}", status: 404, code: "route_not_found"},
-		"unknown v1 path":     {path: "/v1/nowhere", body: "{}", status: 404, code: "route_not_found"},
-		"no idempotency key":  {path: "/checkin/seat", body: "{}", status: 400, code: "idempotency_key_missing"},
-		"long key":            {path: "/checkin/seat", body: "{}", header: map[string]string{"Idempotency-Key": strings.Repeat("k", 200)}, status: 400, code: "idempotency_key_missing"},
-		"bad labels":          {path: "/v1/chat/completions", body: good, header: map[string]string{"X-Pathhead-Labels": "a in (b)"}, status: 400, code: "invalid_labels"},
+		"no key":               {path: "/v1/chat/completions", key: "-", body: good, status: 401, code: "invalid_api_key"},
+		"wrong key":            {path: "/v1/chat/completions", key: "nope", body: good, status: 401, code: "invalid_api_key"},
+		"unknown model":        {path: "/v1/chat/completions", body: `{"model":"x","messages":[{"role":"user","content":"x"}]}`, status: 404, code: "model_not_found"},
+		"unknown adapter":      {path: "/v1/chat/completions", body: `{"model":"desk-7b:x","messages":[{"role":"user","content":"x"}]}`, status: 404, code: "model_not_found"},
+		"broken JSON":          {path: "/v1/chat/completions", body: `{"model":`, status: 400, code: "invalid_request"},
+		"not an object":        {path: "/v1/chat/completions", body: `null`, status: 400, code: "invalid_request"},
+		"no messages":          {path: "/v1/chat/completions", body: `{"model":"desk-7b","messages":[]}`, status: 400, code: "invalid_request"},
+		"wrong type":           {path: "/v1/chat/completions", body: `{"model":"desk-7b","messages":"x"}`, status: 400, code: "invalid_request"},
+		"caller sets the salt": {path: "/v1/chat/completions", body: `{"model":"desk-7b","cache_salt":"x","messages":[{"role":"user","content":"x"}]}`, status: 400, code: "invalid_request"},
+		"too long a prompt":    {path: "/v1/completions", body: `{"model":"desk-7b","prompt":"` + strings.Repeat("x", 140000) + `"}`, status: 400, code: "context_length_exceeded"},
+		"too large a body":     {path: "/v1/completions", body: strings.Repeat("x", 5<<20), status: 413, code: "body_too_large"},
+		"unknown route":        {path: "/nowhere/", body: "{}", status: 404, code: "route_not_found"},
+		"unknown v1 path":      {path: "/v1/nowhere", body: "{}", status: 404, code: "route_not_found"},
+		"no idempotency key":   {path: "/checkin/seat", body: "{}", status: 400, code: "idempotency_key_missing"},
+		"long key":             {path: "/checkin/seat", body: "{}", header: map[string]string{"Idempotency-Key": strings.Repeat("k", 200)}, status: 400, code: "idempotency_key_missing"},
+		"bad labels":           {path: "/v1/chat/completions", body: good, header: map[string]string{"X-Pathhead-Labels": "a in (b)"}, status: 400, code: "invalid_labels"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 	require.Empty(t, s.runs(s.services[0]), "no service ran anything")
 }
 
-// TestSlowBody sends a body that never ends, and checks that the router does not wait for ever.
+// TestSlowBody sends an incomplete body and checks that the router times out.
 func TestSlowBody(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 1})
@@ -154,7 +154,8 @@
 	require.Empty(t, s.allRuns())
 }
 
-// TestRouterKilledOtherServes kills one router while callers ask through both.
+// TestRouterKilledOtherServes kills one of two routers and checks that a client of both is
+// still served.
 func TestRouterKilledOtherServes(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 2})
@@ -167,7 +168,7 @@
 	}
 }
 
-// TestCallerDisconnects checks that an engine stops soon after its caller left.
+// TestCallerDisconnects checks that an engine stops decoding soon after its caller disconnects.
 func TestCallerDisconnects(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 1})
@@ -177,14 +178,14 @@
 		defer close(done)
 		s.client(s.routers[0]).Do(ctx, promptRequest("formosa-air", "t", "x", 4000))
 	}()
-	s.eventually(func() bool { runs := s.allRuns(); return len(runs) == 1 && runs[0].Emitted > 3 }, "the answer began")
+	s.eventually(func() bool { runs := s.allRuns(); return len(runs) == 1 && runs[0].Emitted > 3 }, "the answer has begun")
 	cancel()
 	<-done
-	s.eventually(func() bool { return s.allRuns()[0].State == "cancelled" }, "the engine stopped")
+	s.eventually(func() bool { return s.allRuns()[0].State == "cancelled" }, "the engine has cancelled the run")
 	require.Less(t, s.allRuns()[0].Emitted, 4000)
 }
 
-// TestErrorBodyForm keeps the error body's form, which callers read.
+// TestErrorBodyForm checks the fields of error bodies, which clients parse.
 func TestErrorBodyForm(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 1, routers: 1})
--- a/internal/e2e/rest_test.go
+++ b/internal/e2e/rest_test.go
@@ -9,7 +9,8 @@
 	"github.com/pathhead/pathhead/internal/standin"
 )
 
-// Targets that refuse all and say when to come back are asked once each, and callers are refused at once as not run.
+// Targets that refuse a request and request a back-off receive no second request during it.
+// Callers are refused immediately as not run.
 func TestTargetsRequestBackoff(t *testing.T) {
 	t.Parallel()
 	const engines, asked = 3, 20
@@ -33,5 +34,5 @@
 	}
 	t.Logf("%d attempts refused", refused)
 	require.Positive(t, refused)
-	require.LessOrEqual(t, refused, engines, "attempts at targets that asked for rest")
+	require.LessOrEqual(t, refused, engines, "attempts at targets that requested a back-off")
 }
--- a/internal/e2e/restart_test.go
+++ b/internal/e2e/restart_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathhead/pathhead/internal/standin"
 )
 
-// Promise 3: restart.
+// Guarantee 3: a restarted router serves again with the configuration that was in force.
 
 func TestRouterRestart(t *testing.T) {
 	t.Parallel()
@@ -28,16 +28,16 @@
 		all     bool
 		serving bool
 	}{
-		"all up":                           {peers: true, serving: true},
-		"no peers":                         {serving: true},
-		"table slow":                       {slow: 500, peers: true, serving: true},
-		"table out":                        {out: outage{table: true}, peers: true, serving: true},
-		"table out, no peers":              {out: outage{table: true}, serving: true},
-		"table and objects out, peers":     {out: outage{table: true, objects: true}, peers: true, serving: true},
-		"table and objects out, no peers":  {out: outage{table: true, objects: true}},
-		"all restart, table out":           {out: outage{table: true}, peers: true, all: true, serving: true},
-		"all restart, both out":            {out: outage{table: true, objects: true}, peers: true, all: true},
-		"all restart, everything is there": {peers: true, all: true, serving: true},
+		"all up":                                     {peers: true, serving: true},
+		"no peers":                                   {serving: true},
+		"table slow":                                 {slow: 500, peers: true, serving: true},
+		"table unavailable":                          {out: outage{table: true}, peers: true, serving: true},
+		"table unavailable, no peers":                {out: outage{table: true}, serving: true},
+		"table and objects unavailable, peers":       {out: outage{table: true, objects: true}, peers: true, serving: true},
+		"table and objects unavailable, no peers":    {out: outage{table: true, objects: true}},
+		"all restart, table unavailable":             {out: outage{table: true}, peers: true, all: true, serving: true},
+		"all restart, table and objects unavailable": {out: outage{table: true, objects: true}, peers: true, all: true},
+		"all restart, all up":                        {peers: true, all: true, serving: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -70,12 +70,13 @@
 			r := s.send(s.client(restarted[0]), promptRequest("formosa-air", "rules", "a", 4))
 			require.True(t, r.OK(), "the first request is answered: %+v", r)
 			st, _ := s.status(restarted[0])
-			require.EqualValues(t, 2, st.Revision, "nothing that was in force reverts")
+			require.EqualValues(t, 2, st.Revision, "the revision in force does not revert")
 		})
 	}
 }
 
-// checkNotServing checks that a router that can learn nothing answers, and that it refuses as not run.
+// checkNotServing checks that a router that can't obtain a configuration answers health checks
+// and refuses requests as not run.
 func (s *system) checkNotServing(r *routerProc) {
 	s.t.Helper()
 	s.await(r.operatorAddr, "/healthz")
@@ -87,7 +88,7 @@
 	}
 }
 
-// Promise 9: configuration.
+// Guarantee 9: configuration changes.
 
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
@@ -122,7 +123,7 @@
 	}
 	wg.Wait()
 	require.Equal(t, 1, accepted, "one of the racing operators is accepted")
-	require.Equal(t, 4, conflict, "the others are told whose change came first")
+	require.Equal(t, 4, conflict, "the others are informed that another change came first")
 }
 
 func TestSuspendedRouterServesNoOldRevision(t *testing.T) {
@@ -130,7 +131,7 @@
 	s := newSystem(t, setup{engines: 1, routers: 2})
 	suspended := s.routers[1]
 	suspended.signal(syscall.SIGSTOP)
-	// The next revision takes the organisation's key away.
+	// The next revision removes the organisation's key.
 	old := "3f" + strings.Repeat("0", 62)
 	config := exampleConfig(t)
 	at := strings.Index(config, "sha256: ") + len("sha256: ")
@@ -138,12 +139,12 @@
 	file := filepath.Join(t.TempDir(), "c.yaml")
 	require.NoError(t, os.WriteFile(file, []byte(config), 0o600))
 	out, err := s.ctl("apply", file, "--wait", "4s")
-	require.Error(t, err, "apply says that a router was not seen in force")
+	require.Error(t, err, "apply reports that a router was not seen in force")
 	require.Contains(t, out, "was not seen in force")
 	suspended.signal(syscall.SIGCONT)
 	for range 50 {
 		r := s.send(s.client(suspended), promptRequest("formosa-air", "t", "x", 2))
-		require.NotEqual(t, http.StatusOK, r.Status, "a router that wakes serves nothing under an old revision")
+		require.NotEqual(t, http.StatusOK, r.Status, "a resumed router serves no request under an old revision")
 	}
 	s.await(suspended.callerAddr, "/readyz")
 	st, _ := s.status(suspended)
@@ -157,23 +158,24 @@
 	s.setFaults(s.objects, standin.Faults{Down: true})
 	time.Sleep(4 * time.Second)
 	r := s.send(s.client(s.routers...), promptRequest("formosa-air", "t", "x", 2))
-	require.True(t, r.OK(), "while the stores are out for all, routers that hear each other serve on: %+v", r)
+	require.True(t, r.OK(), "while the stores are unavailable to all, routers in contact with each other continue to serve: %+v", r)
 	s.routers[0].kill()
-	s.eventually(func() bool { return s.getJSON(s.routers[1].callerAddr, "/readyz", nil) != nil }, "a router cut from the stores and all peers takes itself out")
+	s.eventually(func() bool { return s.getJSON(s.routers[1].callerAddr, "/readyz", nil) != nil }, "a router without contact to the stores and all peers is not ready")
 	got := s.send(s.client(s.routers[1]), promptRequest("formosa-air", "t", "y", 2))
 	require.Equal(t, "not-run", got.Verdict)
 	s.setFaults(s.table, standin.Faults{})
 	s.await(s.routers[1].callerAddr, "/readyz")
 }
 
-// TestChangesUnderLoad applies revision after revision while callers ask.
+// TestChangesUnderLoad applies several revisions while callers send requests, none of which
+// may fail.
 func TestChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, setup{engines: 2, routers: 3})
 	c := s.client(s.routers...)
 	stop := repeatUntilStopped(3, func(i, n int) {
 		if r := s.send(c, promptRequest("formosa-air", "rules", fmt.Sprint(i, n), 2)); !r.OK() {
-			t.Errorf("refused by a change of configuration: %+v", r)
+			t.Errorf("request failed during a configuration change: %+v", r)
 		}
 	})
 	for i := range 6 {
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testCA signs certificates for the loopback address.
+// testCA is a certificate authority for the loopback address.
 type testCA struct {
 	t    *testing.T
 	dir  string
@@ -50,7 +50,7 @@
 	require.NoError(a.t, os.WriteFile(a.path(name), data, 0o600))
 }
 
-// issue writes a certificate and key for the loopback address.
+// issue writes a new certificate and key for the loopback address.
 func (a *testCA) issue(serial int64) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -82,7 +82,8 @@
 	return &http.Client{Timeout: waitTimeout, Transport: &http.Transport{TLSClientConfig: cfg, DisableKeepAlives: true}}
 }
 
-// TestTLS runs two routers with certificates on every door, and changes the certificate.
+// TestTLS runs two routers with TLS at all addresses, and checks that a replaced certificate is
+// used without a restart.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	a := newTestCA(t)
@@ -106,13 +107,13 @@
 		return resp, err
 	}
 	operators := "https://" + s.routers[0].operatorAddr.String() + "/v1/status"
-	s.eventually(func() bool { _, err := get(known, operators); return err == nil }, "the operators' door answers")
+	s.eventually(func() bool { _, err := get(known, operators); return err == nil }, "the operator address answers")
 	_, err := get(a.client(false), operators)
-	require.Error(t, err, "an operator without a certificate is turned away")
+	require.Error(t, err, "an operator without a certificate is rejected")
 	s.eventually(func() bool {
 		out, err := s.ctl("status", "--peer-cert", a.path("cert.pem"), "--peer-key", a.path("key.pem"), "--peer-ca", a.path("ca.pem"))
 		return err == nil && containsAll(out, "r1", "r2")
-	}, "peers find each other over mutual TLS")
+	}, "peers discover each other over mutual TLS")
 
 	resp, err := get(a.client(false), "https://"+s.routers[0].callerAddr.String()+"/healthz")
 	require.NoError(t, err)
@@ -122,5 +123,5 @@
 	s.eventually(func() bool {
 		resp, err := get(a.client(false), "https://"+s.routers[0].callerAddr.String()+"/healthz")
 		return err == nil && resp.TLS.PeerCertificates[0].SerialNumber.Int64() == 3
-	}, "a changed certificate is used without a restart")
+	}, "a replaced certificate is used without a restart")
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,7 +18,7 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// balancer gives new connections to the nodes that say that they are ready.
+// balancer assigns new connections to nodes whose readiness endpoint reports success.
 type balancer struct {
 	cluster *cluster
 
@@ -26,13 +26,14 @@
 	misses map[string]int
 }
 
-// The balancer asks once a second and leaves out a node that missed twice.
+// The balancer probes each node once a second and excludes a node after two
+// consecutive failed probes.
 const (
 	probeInterval = time.Second
 	maxMisses     = 2
 )
 
-// run asks the nodes until ctx ends.
+// run probes all nodes until ctx ends.
 func (b *balancer) run(ctx context.Context) {
 	c := probeClient()
 	for ctx.Err() == nil {
@@ -51,7 +52,8 @@
 	}
 }
 
-// pick returns a node for a new connection. Where fewer than half are in, it is any.
+// pick returns a random healthy node for a new connection. If fewer than half of the
+// nodes are healthy, it picks among all of them.
 func (b *balancer) pick() *node {
 	all := b.cluster.allNodes()
 	b.mu.Lock()
@@ -68,17 +70,17 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-// dialTimeout is what a new connection gets to come up.
+// dialTimeout bounds the setup of a new connection.
 const dialTimeout = time.Second
 
-// taggedConn is a connection that knows its process.
+// taggedConn is a connection that records which node process accepted it.
 type taggedConn struct {
 	net.Conn
 	node string
 	boot int
 }
 
-// dial opens a connection to a node.
+// dial opens a connection to a node that pick selects.
 func (b *balancer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	n := b.pick()
 	p := n.running()
@@ -93,8 +95,7 @@
 	return &taggedConn{Conn: c, node: n.name, boot: p.boot}, nil
 }
 
-// caller sends calls over connections that it keeps until they end, and repeats
-// over new ones.
+// caller sends first attempts over keep-alive connections and retries over new ones.
 type caller struct {
 	cluster   *cluster
 	name      string
@@ -102,7 +103,7 @@
 	newConns  *http.Client
 }
 
-// concurrentCalls is how many calls a caller has under way at once.
+// concurrentCalls is the number of calls that a caller has in flight at once.
 const concurrentCalls = 2
 
 func newCaller(s *cluster, b *balancer, name string) *caller {
@@ -114,13 +115,13 @@
 	return &caller{cluster: s, name: name, keepAlive: client(true), newConns: client(false)}
 }
 
-// The pauses of a flow between two calls.
+// The bounds of the pause between two consecutive calls of a worker.
 const (
 	minPause = 10 * time.Millisecond
 	maxPause = 100 * time.Millisecond
 )
 
-// run sends calls until ctx ends; the last is finished.
+// run sends calls until ctx ends. Calls in flight at that time are completed.
 func (c *caller) run(ctx context.Context) {
 	var all sync.WaitGroup
 	for f := range concurrentCalls {
@@ -135,26 +136,28 @@
 	c.keepAlive.CloseIdleConnections()
 }
 
-// callMix is how often the kinds of calls come.
+// callMix lists the kinds of calls with their paths and relative frequencies. An empty
+// path stands for a route of some configuration version.
 var callMix = []struct {
-	kind CallKind
-	path string
-	part int
+	kind   CallKind
+	path   string
+	weight int
 }{
 	{StreamCall, "/stream/", 30}, {ResumeCall, "/resume/", 20}, {OnceCall, "/once/", 20}, {SafeCall, "/safe/", 8},
 	{SafeCall, "/public/", 4}, {SafeCall, movedPath, 6}, {SafeCall, "", 12},
 }
 
-// newCall returns a new call. The last of the mix goes to a route of some version.
+// newCall returns the first attempt of a random call. Entries of callMix without a path
+// are sent to a route of a recent configuration version.
 func (c *caller) newCall(call string) Attempt {
 	a := Attempt{Call: call, Kind: SafeCall, Key: openKey, Body: strings.Repeat(call+" ", 1+rand.IntN(20))}
 	total := 0
 	for _, m := range callMix {
-		total += m.part
+		total += m.weight
 	}
 	at := rand.IntN(total)
 	for _, m := range callMix {
-		if at -= m.part; at < 0 {
+		if at -= m.weight; at < 0 {
 			a.Kind, a.Path = m.kind, m.path
 			break
 		}
@@ -176,13 +179,14 @@
 	return a
 }
 
-// The bounds of a call: how often it is sent, and the part of streams that are given up early.
+// maxAttempts bounds the attempts of a call. abandonFraction is the fraction of streams
+// that the caller cancels early.
 const (
 	maxAttempts     = 3
 	abandonFraction = 0.03
 )
 
-// call sends one call, and repeats it as its kind allows.
+// call sends one call and retries it as far as its kind allows.
 func (c *caller) call(call string) {
 	a := c.newCall(call)
 	end := time.Now().Add(callTime)
@@ -200,7 +204,7 @@
 	}
 }
 
-// attempt sends a call once. It returns whether and when it may be sent again.
+// attempt sends a call once. It returns whether the call may be retried, and after what pause.
 func (c *caller) attempt(client *http.Client, a Attempt, left time.Duration) (pause time.Duration, retry bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
@@ -253,7 +257,7 @@
 	return pause, retry
 }
 
-// retryable reports whether a call may be sent again after an attempt.
+// retryable reports whether a call may be retried after an attempt.
 func retryable(a Attempt) bool {
 	switch a.Status {
 	case http.StatusOK:
@@ -264,7 +268,7 @@
 	return !a.Kind.atMostOnce() || a.refusedNotRun() || a.Err != "" && a.Node == ""
 }
 
-// refusedNotRun reports whether the answer says that the request has not run and never will.
+// refusedNotRun reports whether the answer states that the request has not run and will not run.
 func (a Attempt) refusedNotRun() bool {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -273,7 +277,7 @@
 	return false
 }
 
-// The lengths of a stream's prompt and answer, in tokens.
+// The lengths of a stream's prompt and answer in tokens.
 const (
 	promptTokens = 490
 	answerTokens = 20
@@ -281,11 +285,11 @@
 
 // request builds an attempt's request.
 func request(ctx context.Context, a Attempt, left time.Duration) *http.Request {
+	// The HTTP client does not retry a POST by itself once it has written any byte of it.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+hostName+a.Path, strings.NewReader(a.Body))
 	if err != nil {
-		panic("soak: a path of its own does not parse")
+		panic("soak: generated path does not parse: " + a.Path)
 	}
-	// A POST is never sent again by the client itself once bytes of it were written.
 	params := platformtest.RequestInfo{ID: a.ID, Key: a.Key, Timeout: left}
 	if a.Parts != "" {
 		params.Model, params.Parts, params.PromptTokens, params.AnswerTokens = modelName, a.Parts, promptTokens, answerTokens
@@ -294,7 +298,7 @@
 	return req
 }
 
-// expectedAnswer is the whole answer to an attempt.
+// expectedAnswer returns the complete answer to an attempt.
 func (a Attempt) expectedAnswer() string {
 	if !a.Kind.streams() {
 		return platformtest.Body(a.ID)
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -7,7 +7,8 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// The keys that stay, and the organisations that they belong to; the second is isolated.
+// The keys that every version contains, with their organisations. The second
+// organisation is isolated.
 const (
 	openKey     = "key-open"
 	openOrg     = "open"
@@ -15,23 +16,25 @@
 	isolatedOrg = "walled"
 )
 
-// How many of the routes and keys that come with each version stay.
+// Each version adds one route and one key. These are the numbers of the most recent of
+// them that a version contains.
 const (
 	routesRetained = 3
 	keysRetained   = 1
 )
 
-// The names of what comes with a version.
+// versionPath, versionKey and versionOrg return the route prefix, the key and the
+// organisation that a version adds.
 func versionPath(version int64) string { return fmt.Sprintf("/v%d/", version) }
 func versionKey(version int64) string  { return fmt.Sprintf("key-%d", version) }
 func versionOrg(version int64) string  { return fmt.Sprintf("org-%d", version) }
 
-// movedPath is a route that each version moves to the other plain service.
+// movedPath is a route that each version moves to the other one of the two plain services.
 const movedPath = "/move/"
 
-// configAt returns the configuration of a version. Each brings a route and a key,
-// takes away one of both, and moves a route, so that what a node does with a
-// request tells which versions it can have.
+// configAt returns the configuration of a version. Each version adds a route and a key,
+// removes an older one of each, and moves a route to another service. The handling of a
+// request therefore shows which versions a node may be using.
 func configAt(version int64) platformtest.Config {
 	route := func(prefix, kind, service string, attempts int) platformtest.Route {
 		return platformtest.Route{
@@ -70,16 +73,16 @@
 	return c
 }
 
-// configOutcome is what became of a request as far as it depends on the configuration:
-// the service that ran it, or that its path or its key was not known.
+// configOutcome is the part of a request's outcome that depends on the configuration:
+// the service and organisation that it ran with, or that its path or key was unknown.
 type configOutcome struct {
 	service       string
 	organisation  string
 	noPath, noKey bool
 }
 
-// allows reports whether a configuration that has a request handled as h allows
-// what was seen of it.
+// allows reports whether the observed outcome is consistent with h, the outcome that
+// a configuration prescribes.
 func (h configOutcome) allows(seen configOutcome) bool {
 	if seen.noPath {
 		return h.noPath
@@ -90,7 +93,7 @@
 	return !h.noPath && !h.noKey && h.service == seen.service && (h.organisation == "" || h.organisation == seen.organisation)
 }
 
-// expectedOutcome returns how a configuration has a request handled.
+// expectedOutcome returns the outcome that a configuration prescribes for a request.
 func expectedOutcome(c platformtest.Config, path, key string) configOutcome {
 	h := configOutcome{noPath: true, noKey: true}
 	public := false
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -11,16 +11,18 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// The figures of requests that end the engines which begin to run them.
+// The parameters of suspect requests, which crash each engine that begins to run them.
 const (
-	// crashParts begin the prompt of each, after which a number tells them apart.
+	// crashParts is the prefix of their prompts. A number that distinguishes the requests
+	// follows it.
 	crashParts = "dead"
-	// suspectCopyInterval is the pause between two copies, engineRestartDelay until an engine that ended is back.
+	// suspectCopyInterval is the pause between two copies of a request. engineRestartDelay
+	// is the time until a crashed engine starts again.
 	suspectCopyInterval = 120 * time.Millisecond
 	engineRestartDelay  = time.Second
 )
 
-// sendSuspectCopies has copies of one request come to nodes in any order, as a caller of its own sends them.
+// sendSuspectCopies sends copies of one suspect request to random nodes, as a separate caller would.
 func (s *cluster) sendSuspectCopies(ctx context.Context, step Step) {
 	name := fmt.Sprintf("deadly-%d", step.At.Milliseconds())
 	defer s.beginFault(InjectedFault{Scope: ScopePlanned, Kind: step.Kind, Detail: name})()
@@ -38,8 +40,8 @@
 	}
 }
 
-// recordCrash ends an engine that has begun to run such a request, and starts another in its place
-// unless a step that ends it does so.
+// crashUnderRequest crashes an engine that has begun to run a suspect request, and starts
+// a replacement unless a step that has claimed the slot does so.
 func (s *cluster) crashUnderRequest(sl *slot, r *platformtest.Replica) {
 	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: SuspectRequest, Subject: r.ID})()
 	claimed := s.claim(sl)
@@ -54,13 +56,15 @@
 }
 
 const (
-	// crashThreshold is under how many ends a request is known to end targets, maxRunsOnceKnown how many
-	// runs of it nodes in touch may begin after that was to be known.
+	// crashThreshold is the number of crashes after which nodes must treat a request as a
+	// suspect. maxRunsOnceKnown is the number of further runs that nodes in contact may
+	// begin after that has had time to reach them.
 	crashThreshold   = 3
 	maxRunsOnceKnown = 3
 )
 
-// checkSuspects checks that a request under which targets ended reaches few more, once that is known.
+// checkSuspects checks that a request that has crashed crashThreshold targets reaches few
+// further ones once the nodes have had time to learn of it.
 func (v *verifier) checkSuspects() {
 	crashed := make(map[string]map[string]bool)
 	known := make(map[string]time.Time)
@@ -72,7 +76,7 @@
 		}
 		if len(crashed[r.Body]) >= crashThreshold && a.Sent.After(known[r.Body].Add(v.Bounds.Contact)) && v.inContact(a.Node, a.Sent, r.StartedAt) {
 			if lateRuns[r.Body]++; lateRuns[r.Body] == maxRunsOnceKnown+1 {
-				v.addViolation(SuspectsHeld, r.StartedAt, r.ID, "%d engines had ended under it %s before it was sent", len(crashed[r.Body]), a.Sent.Sub(known[r.Body]))
+				v.addViolation(SuspectsHeld, r.StartedAt, r.ID, "%d engines had crashed running it %s before it was sent", len(crashed[r.Body]), a.Sent.Sub(known[r.Body]))
 			}
 		}
 		if crashed[r.Body] == nil {
@@ -84,7 +88,7 @@
 	}
 }
 
-// checkHeldRequests checks that no request is held back of which a copy has been answered.
+// checkHeldRequests checks that no request is refused as a suspect after a copy of it was answered.
 func (v *verifier) checkHeldRequests() {
 	answered := make(map[string]time.Time)
 	for _, a := range v.Attempts {
@@ -100,7 +104,7 @@
 	}
 }
 
-// refusedAsSuspect reports whether a node refused the request since it holds it back.
+// refusedAsSuspect reports whether a node refused the request because it is a suspect.
 func (a Attempt) refusedAsSuspect() bool {
 	return a.Status == http.StatusServiceUnavailable && strings.HasPrefix(a.Answer, "crashes_targets")
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,3 +1,3 @@
-// Package soak runs real nodes against stand-ins of the platform, injects faults
-// from outside them by a seeded plan, and checks what callers and targets see.
+// Package soak runs real node processes against stand-ins of the platform, injects faults
+// into their environment by a seeded plan, and checks what callers and targets observe.
 package soak
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,23 +11,27 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// The figures of the faults.
+// The parameters of the faults.
 const (
-	// entryTTL is after how much silence a target's entry goes: three of its heartbeats.
+	// entryTTL is the time after a target's last heartbeat until its entry expires: three
+	// heartbeat intervals.
 	entryTTL = 600 * time.Millisecond
-	// addressReuseDelay is after how long another service takes the address of a target that is gone.
+	// addressReuseDelay is the time until another service starts at the address of a target
+	// that has ended.
 	addressReuseDelay = 2 * time.Second
-	// delayedOrderFraction is the part of orders that are late, minOrderDelay and maxOrderDelay by how
-	// much; orderDelayInterval is how often that is drawn anew, under the time between two orders.
+	// delayedOrderFraction is the fraction of orders that are delayed, minOrderDelay and
+	// maxOrderDelay bound the delay. The delay is redrawn every orderDelayInterval, which is
+	// shorter than the time between two orders.
 	delayedOrderFraction = 0.9
 	minOrderDelay        = 2 * time.Second
 	maxOrderDelay        = 12 * time.Second
 	orderDelayInterval   = 300 * time.Millisecond
-	// greyFailureFraction is the part of its requests that a grey target fails.
+	// greyFailureFraction is the fraction of its requests that a target with a grey failure
+	// fails.
 	greyFailureFraction = 0.5
 )
 
-// apply carries a step out, and returns once it is over.
+// apply executes a step and returns once it is over.
 func (s *cluster) apply(ctx context.Context, step Step) {
 	nodes := s.allNodes()
 	n := nodes[max(0, step.Subject)%len(nodes)]
@@ -93,7 +97,7 @@
 	}
 }
 
-// affectedSlot returns the place that a step hits; orders go to engines alone.
+// affectedSlot returns the slot that a step affects. Only engines receive orders.
 func (s *cluster) affectedSlot(step Step) *slot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +108,8 @@
 	return s.slots[max(0, step.Subject)%most]
 }
 
-// applyProcess pauses, kills or stops a process, which runs again afterwards.
+// applyProcess pauses, kills or stops a node's process, and resumes or restarts it after the
+// step's length.
 func (s *cluster) applyProcess(ctx context.Context, step Step, n *node, p *process) {
 	defer s.beginFault(InjectedFault{Scope: ScopeNode, Kind: step.Kind, Subject: n.name})()
 	switch step.Kind {
@@ -121,7 +126,7 @@
 		select {
 		case <-p.ended:
 		case <-time.After(s.bounds.Grace):
-			s.recordFault(InjectedFault{Scope: ScopePlanned, Kind: Stop, Subject: n.name, Detail: "still there at the end of the grace"})
+			s.recordFault(InjectedFault{Scope: ScopePlanned, Kind: Stop, Subject: n.name, Detail: "still running at the end of the grace period"})
 			n.kill(p)
 		}
 	default:
@@ -131,7 +136,7 @@
 	s.recordError(s.startNode(n))
 }
 
-// failStore has the store fail at one door or all.
+// failStore makes the store fail for one node or for all nodes.
 func (s *cluster) failStore(ctx context.Context, step Step, n *node) {
 	subject, hit := n.name, []*node{n}
 	if step.Subject == AllNodes {
@@ -150,14 +155,15 @@
 	}
 }
 
-// addImpairment counts a fault that holds what it hits, and last reports at its end whether no
-// other does, so that of faults that overlap the last one heals.
+// addImpairment counts a fault that affects an object: a node's store door, a link or a process. Faults
+// may overlap, and only the end of the last one restores the object.
 func (s *cluster) addImpairment(what any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.impairments[what]++
 }
 
+// removeImpairment counts the end of a fault, and reports whether the object has no other one.
 func (s *cluster) removeImpairment(what any) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +171,7 @@
 	return s.impairments[what] == 0
 }
 
-// impairLink impairs a link. A reset and silence happen at one moment.
+// impairLink puts a link in a state for the step's length. Reset and Stall are instantaneous.
 func (s *cluster) impairLink(ctx context.Context, step Step, p *Proxy, subject string) {
 	defer s.beginFault(InjectedFault{Scope: ScopeLink, Kind: step.Kind, Subject: subject, Detail: string(step.Link)})()
 	if step.Link == Reset || step.Link == Stall {
@@ -180,7 +186,8 @@
 	}
 }
 
-// crashTarget ends a target, whose entry lapses, and starts it again with the weights that it had.
+// crashTarget ends a target, whose entry then expires, and starts one with the same weights
+// and a new id in its slot.
 func (s *cluster) crashTarget(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
 	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
@@ -190,19 +197,19 @@
 	s.recordError(s.startTarget(sl, s.newID(r.Service), r.Service, r.Weights(), time.Now()))
 }
 
-// endTarget ends a target without a word.
+// endTarget ends a target abruptly, without a drain.
 func (s *cluster) endTarget(sl *slot, r *platformtest.Replica) {
 	sl.proxy.Close()
 	r.Crash()
 	s.updateTarget(r.ID, func(t *Target) { t.Ended = time.Now() })
 }
 
-// clockSkew is how far the clock of a target that starts again is off, to one side or the other.
+// clockSkew is the error of the clock of a restarted target, which may be ahead or behind.
 const clockSkew = 10 * time.Minute
 
-// restartTarget ends a target and starts it again under the id that it had, with its weights and
-// nothing else of before. Its entry lapses only if that takes longer than it lasts. The
-// clock that its new start is told by may be off to either side.
+// restartTarget ends a target and starts it again under the same id. The target keeps its
+// weights and no other state. Its entry expires only if the restart takes longer than
+// entryTTL. The start time that the new incarnation reports may be clockSkew ahead or behind.
 func (s *cluster) restartTarget(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
 	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
@@ -223,8 +230,9 @@
 	return sl.replica
 }
 
-// replaceTarget has a new target take a place over. The old one leaves with or without a
-// word, and a while later another service takes its address.
+// replaceTarget starts a new target that takes over a slot. The old target drains, or is
+// removed from the list without a drain, and after its end another service starts at its
+// address.
 func (s *cluster) replaceTarget(ctx context.Context, step Step, oldSlot *slot) {
 	r := s.replicaAt(oldSlot)
 	if r.Service == foreignName {
@@ -252,7 +260,7 @@
 	s.recordError(s.startTarget(oldSlot, s.newID(foreignName), foreignName, 0, time.Now()))
 }
 
-// swapSlots exchanges the places of two targets in the list.
+// swapSlots exchanges the positions of two slots in the list.
 func (s *cluster) swapSlots(a, b *slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,13 +274,14 @@
 	}
 }
 
-// The faults of grey targets. Those that an engine can't have are bytes of a plain answer.
+// engineFaults and plainFaults are the faults of targets with a grey failure. The faults that
+// only plain targets have are malformed bytes in a plain answer.
 var (
 	engineFaults = []platformtest.Fault{platformtest.Shed, platformtest.Failing, platformtest.Dropping, platformtest.Unresponsive, platformtest.Truncating}
 	plainFaults  = append([]platformtest.Fault{platformtest.ExtraAnswer, platformtest.Foreign, platformtest.Unframed, platformtest.Garbage}, engineFaults...)
 )
 
-// failPartially has a target fail a part of its requests.
+// failPartially makes a target fail a fraction of its requests.
 func (s *cluster) failPartially(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
 	defer s.beginFault(InjectedFault{Scope: ScopeTarget, Kind: step.Kind, Subject: r.ID})()
@@ -290,7 +299,7 @@
 	r.SetScript(nil)
 }
 
-// delayOrders has a target leave most orders unanswered and carry them out late.
+// delayOrders makes a target leave most orders unanswered and execute them late.
 func (s *cluster) delayOrders(ctx context.Context, step Step, sl *slot) {
 	r := s.replicaAt(sl)
 	defer s.beginFault(InjectedFault{Scope: ScopeOrders, Kind: step.Kind, Subject: r.ID})()
@@ -305,7 +314,7 @@
 	}
 }
 
-// wait waits for a time or until ctx ends.
+// wait blocks for a duration or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -313,7 +322,7 @@
 	}
 }
 
-// claim takes a place for a step that ends its target.
+// claim reserves a slot for a step that ends its target. It reports false if another step holds it.
 func (s *cluster) claim(sl *slot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -324,7 +333,7 @@
 	return true
 }
 
-// release ends the claim of a step.
+// release ends a step's claim of a slot.
 func (s *cluster) release(sl *slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -11,10 +11,10 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// Guarantee is a promise of the system that a check is for.
+// Guarantee is a property of the system that a check verifies.
 type Guarantee string
 
-// The promises that are checked.
+// The guarantees that are checked. Logs and reports contain their values.
 const (
 	AnswerIntact         Guarantee = "own whole answer"
 	StreamIntact         Guarantee = "whole stream in order"
@@ -43,16 +43,16 @@
 	BackoffHintFollowed  Guarantee = "targets that ask for rest get it"
 )
 
-// Violation is a promise that was not kept.
+// Violation is one case in which a guarantee did not hold.
 type Violation struct {
 	Guarantee Guarantee
 	At        time.Time
-	// Subject is the request, target or process.
+	// Subject is the id of the request, target or process concerned.
 	Subject string
 	Detail  string
 }
 
-// verifier holds a record against the promises.
+// verifier checks a record against the guarantees.
 type verifier struct {
 	Record
 	byID       map[string]*Attempt
@@ -61,7 +61,7 @@
 	violations []Violation
 }
 
-// Verify returns the promises that a record breaks, in the order of time.
+// Verify returns the violations that a record shows, ordered by time.
 func Verify(r Record) []Violation {
 	v := &verifier{Record: r, byID: make(map[string]*Attempt), runsOf: make(map[string][]platformtest.Run), targets: make(map[string]Target)}
 	for i := range r.Attempts {
@@ -84,25 +84,26 @@
 	return v.violations
 }
 
+// addViolation records a violation.
 func (v *verifier) addViolation(p Guarantee, at time.Time, subject, format string, args ...any) {
 	v.violations = append(v.violations, Violation{p, at, subject, fmt.Sprintf(format, args...)})
 }
 
-// noFault reports whether no trouble that counts touches a span of time.
+// noFault reports whether no fault that counts accepts overlaps a span of time.
 func (v *verifier) noFault(from, to time.Time, counts func(InjectedFault) bool) bool {
 	return !slices.ContainsFunc(v.Faults, func(t InjectedFault) bool {
 		return counts(t) && !t.From.After(to) && !t.end(v.Now).Before(from)
 	})
 }
 
-// affectsLinks reports whether a trouble is one of a node's links. Connections that fall
-// silent count as a reset of those of all nodes.
+// affectsLinks reports whether a fault affects a link of a node. A stall of any link counts
+// as a reset of the links of all nodes.
 func affectsLinks(t InjectedFault, node string) bool {
 	return t.Scope == ScopeLink && (t.Subject == "" || t.Subject == node || t.Detail == string(Stall))
 }
 
-// inContact reports whether a node is held to bounds of time over a span: its
-// process ran, its links and the store were sound, from some time before it.
+// inContact reports whether time bounds apply to a node over a span: from some time before
+// the span to its end, no fault affected the node's process, its links or the store.
 func (v *verifier) inContact(node string, from, to time.Time) bool {
 	contact := v.Bounds.Contact
 	return node != "" &&
@@ -112,17 +113,17 @@
 		v.noFault(from.Add(-2*contact), to, func(t InjectedFault) bool { return t.Scope == ScopeStore })
 }
 
-// checkAnswers checks what callers got.
+// checkAnswers checks the answers that callers received.
 func (v *verifier) checkAnswers() {
 	for _, a := range v.Attempts {
 		switch {
 		case a.Done.IsZero() || a.Status == 0:
 		case a.AnswerID != "" && a.AnswerID != a.ID:
-			v.addViolation(AnswerIntact, a.Done, a.ID, "the answer is to %s", a.AnswerID)
+			v.addViolation(AnswerIntact, a.Done, a.ID, "received the answer to %s", a.AnswerID)
 		case a.Status != http.StatusOK:
-			// A target's own failures have no other status.
+			// Failures that a target reports itself have status 500 only.
 			if a.Seal != "" && a.Status != http.StatusInternalServerError {
-				v.addViolation(AnswerIntact, a.Done, a.ID, "a target's seal on status %d", a.Status)
+				v.addViolation(AnswerIntact, a.Done, a.ID, "answer with status %d has a target's seal", a.Status)
 			}
 		case a.Seal != platformtest.Seal(a.ID):
 			v.addViolation(AnswerIntact, a.Done, a.ID, "the seal is %q", a.Seal)
@@ -136,24 +137,26 @@
 	}
 }
 
-// checkRequests checks that runs are as callers sent them.
+// checkRequests checks that targets ran requests as callers sent them, and used cached parts
+// only of the same weights and organisation.
 func (v *verifier) checkRequests() {
 	for _, r := range v.Runs {
 		a, ok := v.byID[r.ID]
 		if !ok {
-			v.addViolation(RequestUnaltered, r.StartedAt, r.ID, "no caller sent it")
+			v.addViolation(RequestUnaltered, r.StartedAt, r.ID, "no caller sent this request")
 			continue
 		}
 		switch {
 		case r.Method != http.MethodPost, r.URI != a.Path, r.Host != hostName, r.Body != a.Body, r.Parts() != a.Parts:
 			v.addViolation(RequestUnaltered, r.StartedAt, r.ID, "%s ran %s %s at %s with %d bytes", r.Replica, r.Method, r.URI, r.Host, len(r.Body))
 		case r.StaleParts, r.CrossTenant:
-			v.addViolation(CacheIsolated, r.StartedAt, r.ID, "parts of other weights: %t, of another organisation: %t", r.StaleParts, r.CrossTenant)
+			v.addViolation(CacheIsolated, r.StartedAt, r.ID, "used parts of other weights: %t, of another organisation: %t", r.StaleParts, r.CrossTenant)
 		}
 	}
 }
 
-// checkAtMostOnce checks that what may run once did, and that refusals of it are true.
+// checkAtMostOnce checks that calls that may run only once did not run twice, and that
+// those refused as not run have not run.
 func (v *verifier) checkAtMostOnce() {
 	calls := make(map[string]int)
 	for _, a := range v.Attempts {
@@ -170,11 +173,12 @@
 	}
 }
 
-// maxOverAttempted is how many requests may run at more targets than their route allows:
-// targets that were lost meanwhile don't count, which is not told apart here.
+// maxOverAttempted is the number of requests that may run at more targets than their route
+// allows. The route does not count attempts at targets that were lost meanwhile, and the
+// record does not show which attempts those were.
 const maxOverAttempted = 3
 
-// checkAttempts checks how many targets ran a request.
+// checkAttempts checks the number of targets that ran each request.
 func (v *verifier) checkAttempts() {
 	var excess []string
 	var last time.Time
@@ -187,11 +191,12 @@
 	}
 	if len(excess) > maxOverAttempted {
 		slices.Sort(excess)
-		v.addViolation(AttemptsBounded, last, excess[0], "and %d more", len(excess)-1)
+		v.addViolation(AttemptsBounded, last, excess[0], "and %d further requests ran at more targets than their route allows", len(excess)-1)
 	}
 }
 
-// checkDraining checks that targets get no work a while after they said that they leave.
+// checkDraining checks that nodes in contact send no requests to a target that began to
+// drain longer than the drain bound ago.
 func (v *verifier) checkDraining() {
 	for _, r := range v.Runs {
 		t, a := v.targets[r.Replica], v.byID[r.ID]
@@ -200,17 +205,18 @@
 		}
 		storeSound := v.noFault(t.DrainingSince.Add(-v.Bounds.Contact), t.DrainingSince, func(t InjectedFault) bool { return t.Scope == ScopeStore })
 		if storeSound && v.inContact(a.Node, a.Sent, r.StartedAt) {
-			v.addViolation(NoWorkWhenDraining, r.StartedAt, r.ID, "%s sent it %s after %s said that it leaves", a.Node, a.Sent.Sub(t.DrainingSince), t.ID)
+			v.addViolation(NoWorkWhenDraining, r.StartedAt, r.ID, "%s sent it %s after %s began to drain", a.Node, a.Sent.Sub(t.DrainingSince), t.ID)
 		}
 	}
 }
 
-// incomplete reports whether a request that a node took ended without a whole answer.
+// incomplete reports whether a request that a node accepted ended without a complete answer
+// although the caller did not cancel it and its route's timeout had not expired.
 func (a Attempt) incomplete() bool {
 	return a.Err != "" && !a.Left && a.Node != "" && !a.Done.IsZero() && a.Done.Sub(a.Sent) < routeTime
 }
 
-// checkPlannedStops checks that planned stops cut nothing where nothing else went wrong.
+// checkPlannedStops checks that planned stops cut no requests that no other fault affected.
 func (v *verifier) checkPlannedStops() {
 	for _, a := range v.Attempts {
 		runs := v.runsOf[a.ID]
@@ -221,12 +227,12 @@
 			return t.Kind == Stop && t.Scope == ScopeNode && t.Subject == a.Node && t.From.Add(v.Bounds.Grace+time.Second).After(a.Done)
 		})
 		if stopping && v.unaffected(a, runs) {
-			v.addViolation(PlannedStopClean, a.Done, a.ID, "%s was stopping, %d runs: %s", a.Node, len(runs), a.Err)
+			v.addViolation(PlannedStopClean, a.Done, a.ID, "%s was stopping, request ran %d times: %s", a.Node, len(runs), a.Err)
 		}
 	}
 }
 
-// unaffected reports whether nothing but planned work touched a request.
+// unaffected reports whether no fault other than planned steps affected a request.
 func (v *verifier) unaffected(a Attempt, runs []platformtest.Run) bool {
 	return v.noFault(a.Sent.Add(-v.Bounds.Contact), a.Done, func(t InjectedFault) bool {
 		switch t.Scope {
@@ -241,10 +247,11 @@
 	})
 }
 
-// maxUnanswered is how many requests on kept connections may get no answer.
+// maxUnanswered is the number of requests on reused connections that may remain unanswered.
 const maxUnanswered = 3
 
-// checkKeepAlive checks that nodes in touch answer what they passed on.
+// checkKeepAlive checks that nodes in contact answer requests on reused connections that
+// they have forwarded.
 func (v *verifier) checkKeepAlive() {
 	var unanswered []string
 	var last time.Time
@@ -255,17 +262,19 @@
 		}
 	}
 	if len(unanswered) > maxUnanswered {
-		v.addViolation(KeepAliveAnswered, last, unanswered[0], "%d without an answer", len(unanswered))
+		v.addViolation(KeepAliveAnswered, last, unanswered[0], "%d requests without an answer", len(unanswered))
 	}
 }
 
-// The number of requests that may go on past their route's time, and their part of all that last so long.
+// maxOverdue is the number of requests that may exceed their route's timeout by more than
+// the slack. A larger number is accepted as long as it is at most one in overdueRatio of
+// all requests that last until their route's timeout.
 const (
 	maxOverdue   = 7
 	overdueRatio = 4
 )
 
-// checkTimeliness checks that requests get a final answer around their route's time.
+// checkTimeliness checks that requests end close to their route's timeout at the latest.
 func (v *verifier) checkTimeliness() {
 	var overdue []string
 	var last time.Time
@@ -280,18 +289,19 @@
 		}
 	}
 	if len(overdue) > maxOverdue && overdueRatio*len(overdue) > reachedTimeout {
-		v.addViolation(AnswersTimely, last, overdue[0], "%d of %d that lasted as long as their route allows", len(overdue), reachedTimeout)
+		v.addViolation(AnswersTimely, last, overdue[0], "%d of %d requests that reached their route's timeout ended late", len(overdue), reachedTimeout)
 	}
 }
 
-// What is served once all is well again: a figure of the soak's own, since in calm
-// there is room for all, and the least number of calls to judge it by.
+// minServedFraction is the fraction of requests that must succeed once all faults have
+// ended. It is a bound of these checks only: without faults the cluster has capacity for all
+// requests. minJudgedCalls is the minimum number of requests for that check.
 const (
 	minServedFraction = 0.9
 	minJudgedCalls    = 20
 )
 
-// checkRecovery checks that calls are served a while after the last trouble.
+// checkRecovery checks that requests succeed again a recovery bound after the last fault.
 func (v *verifier) checkRecovery() {
 	if !v.Finished || v.FaultsEnded.IsZero() {
 		return
@@ -308,11 +318,11 @@
 		}
 	}
 	if all < minJudgedCalls || float64(served) < minServedFraction*float64(all) {
-		v.addViolation(ServiceRecovers, v.Now, "service", "%d of %d served", served, all)
+		v.addViolation(ServiceRecovers, v.Now, "service", "%d of %d requests served", served, all)
 	}
 }
 
-// checkExits checks that no process ended by itself.
+// checkExits checks that no process ended unexpectedly, and that no step itself failed.
 func (v *verifier) checkExits() {
 	for _, e := range v.Exits {
 		v.addViolation(NoUnexpectedExit, e.From, cmp.Or(e.Subject, "soak"), "%s", e.Detail)
--- a/internal/soak/judge_config.go
+++ b/internal/soak/judge_config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// observation is what became of a request, as far as that tells of the configuration.
+// observation is the outcome of a request as far as it shows which configuration was used.
 type observation struct {
 	a       *Attempt
 	at      time.Time
@@ -15,7 +15,7 @@
 	newest  int
 }
 
-// observations lists them in the order of time.
+// observations returns all observations ordered by time.
 func (v *verifier) observations() []observation {
 	var out []observation
 	add := func(a *Attempt, at time.Time, run bool, seen configOutcome) {
@@ -45,7 +45,8 @@
 	return out
 }
 
-// oldestMatching returns the first configuration from a place on that allows a sighting, or -1.
+// oldestMatching returns the index of the first configuration, starting at from, that allows
+// an observation, or -1 if none does.
 func (v *verifier) oldestMatching(s observation, from int) int {
 	for i := from; i <= s.newest; i++ {
 		if expectedOutcome(v.Configs[i].Config, s.a.Path, s.a.Key).allows(s.outcome) {
@@ -55,7 +56,8 @@
 	return -1
 }
 
-// newestInForce returns the place of the newest configuration that was acknowledged a bound before a time.
+// newestInForce returns the index of the newest configuration that was acknowledged more
+// than bound before a time.
 func (v *verifier) newestInForce(at time.Time, bound time.Duration) int {
 	index := 0
 	for i, c := range v.Configs {
@@ -66,38 +68,41 @@
 	return index
 }
 
-// configHistory are when a process was first seen to have each configuration, by its place.
+// configHistory lists the times at which a process was first observed to use each
+// configuration, which is given by its index.
 type configHistory []struct {
 	at    time.Time
-	place int
+	index int
 }
 
-// add notes that a process had a configuration, or a newer one, at a time that is not before the others.
+// add records that a process used a configuration, or a newer one, at a time that is not
+// before those recorded.
 func (e configHistory) add(at time.Time, index int) configHistory {
-	if len(e) > 0 && e[len(e)-1].place >= index {
+	if len(e) > 0 && e[len(e)-1].index >= index {
 		return e
 	}
 	return append(e, struct {
 		at    time.Time
-		place int
+		index int
 	}{at, index})
 }
 
-// newestBefore returns the newest configuration that was seen before a time.
+// newestBefore returns the index of the newest configuration that was observed before a time.
 func (e configHistory) newestBefore(at time.Time) int {
 	index := 0
 	for _, entry := range e {
 		if entry.at.Before(at) {
-			index = entry.place
+			index = entry.index
 		}
 	}
 	return index
 }
 
-// outOfContactFactor is how many times longer a process that is not in touch may answer by an older configuration.
+// outOfContactFactor multiplies the time for which a process that is not in contact may still
+// use an older configuration.
 const outOfContactFactor = 8
 
-// checkConfigs checks what was handled against the configurations that may be in force.
+// checkConfigs checks that each request was handled by a configuration that may be in force.
 func (v *verifier) checkConfigs() {
 	type process struct {
 		node string
@@ -107,22 +112,22 @@
 	for _, s := range v.observations() {
 		first := v.oldestMatching(s, 0)
 		if first < 0 {
-			v.addViolation(RequestUnaltered, s.at, s.a.ID, "no configuration so far allows %+v", s.outcome)
+			v.addViolation(RequestUnaltered, s.at, s.a.ID, "no configuration up to then allows %+v", s.outcome)
 			continue
 		}
 		if s.run && v.keyRevoked(s) {
-			v.addViolation(KeysRevoked, s.at, s.a.ID, "%s ran %s after it was sent by %s", s.a.Key, s.at.Sub(s.a.Sent), s.a.Node)
+			v.addViolation(KeysRevoked, s.at, s.a.ID, "request with removed key %s ran %s after it was sent to %s", s.a.Key, s.at.Sub(s.a.Sent), s.a.Node)
 		}
 		inContact := v.inContact(s.a.Node, s.a.Sent, s.at)
 		if index := v.newestInForce(s.a.Sent, v.Bounds.Apply); inContact && v.oldestMatching(s, index) < 0 {
-			v.addViolation(ConfigApplied, s.at, s.a.ID, "%s handled it as %+v, version %d was in force", s.a.Node, s.outcome, v.Configs[index].Config.Version)
+			v.addViolation(ConfigApplied, s.at, s.a.ID, "%s handled it as %+v although version %d was in force", s.a.Node, s.outcome, v.Configs[index].Config.Version)
 		}
 		p, slack := process{s.a.Node, s.a.Boot}, v.Bounds.StaleConfig
 		if !inContact {
 			slack *= outOfContactFactor
 		}
 		if index := histories[p].newestBefore(s.a.Sent.Add(-slack)); v.oldestMatching(s, index) < 0 {
-			v.addViolation(ConfigMonotonic, s.at, s.a.ID, "%s handled it as %+v after it had version %d", s.a.Node, s.outcome, v.Configs[index].Config.Version)
+			v.addViolation(ConfigMonotonic, s.at, s.a.ID, "%s handled it as %+v although it had used version %d before", s.a.Node, s.outcome, v.Configs[index].Config.Version)
 		}
 		if s.run {
 			histories[p] = histories[p].add(s.at, first)
@@ -130,8 +135,9 @@
 	}
 }
 
-// keyRevoked reports whether a request ran with a key that was removed a bound before
-// it was sent. That holds for all nodes, in touch or not.
+// keyRevoked reports whether a request ran with a key that was removed longer than the
+// revocation bound before the request was sent. The bound applies to all nodes, in contact
+// or not.
 func (v *verifier) keyRevoked(s observation) bool {
 	for i := v.newestInForce(s.a.Sent, v.Bounds.Revoke); i <= s.newest; i++ {
 		if !expectedOutcome(v.Configs[i].Config, s.a.Path, s.a.Key).noKey {
@@ -141,14 +147,15 @@
 	return true
 }
 
-// How many proper requests may be denied by nodes in touch, of so many, and by others.
+// The number of valid requests that nodes in contact may reject is maxDenied, plus one per
+// attemptsPerDenied attempts. maxDeniedOutOfContact is the number for other nodes.
 const (
 	maxDenied             = 5
 	attemptsPerDenied     = 500
 	maxDeniedOutOfContact = 10
 )
 
-// checkDenied checks that what every configuration allows is not denied.
+// checkDenied checks that requests that every configuration allows are not rejected.
 func (v *verifier) checkDenied() {
 	var inContact, outOfContact []string
 	var last time.Time
@@ -170,6 +177,6 @@
 		}
 	}
 	if len(inContact) > maxDenied+len(v.Attempts)/attemptsPerDenied || len(outOfContact) > maxDeniedOutOfContact {
-		v.addViolation(ValidAccepted, last, append(inContact, outOfContact...)[0], "%d by nodes in touch, %d by others", len(inContact), len(outOfContact))
+		v.addViolation(ValidAccepted, last, append(inContact, outOfContact...)[0], "%d valid requests rejected by nodes in contact, %d by others", len(inContact), len(outOfContact))
 	}
 }
--- a/internal/soak/judge_weights.go
+++ b/internal/soak/judge_weights.go
@@ -10,7 +10,8 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// checkOrders checks that orders come from one holder at a time, and that none is undone by an older.
+// checkOrders checks that orders come from one lease holder at a time, and that no order is
+// overridden by an older one.
 func (v *verifier) checkOrders() {
 	orders := slices.Clone(v.Orders)
 	slices.SortStableFunc(orders, func(a, b platformtest.ReceivedOrder) int { return a.Arrived.Compare(b.Arrived) })
@@ -22,7 +23,7 @@
 			continue
 		}
 		if o.Version <= accepted[o.Replica] {
-			v.addViolation(SingleLeaseHolder, o.At, o.Replica, "weights %d taken after %d", o.Version, accepted[o.Replica])
+			v.addViolation(SingleLeaseHolder, o.At, o.Replica, "accepted order for weights %d after order for weights %d", o.Version, accepted[o.Replica])
 		}
 		accepted[o.Replica] = o.Version
 	}
@@ -33,7 +34,7 @@
 			continue
 		}
 		if h, ok := holders[o.Fence]; ok && h != o.Holder {
-			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "%s and %s with fence %d", h, o.Holder, o.Fence)
+			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "%s and %s both used fence %d", h, o.Holder, o.Fence)
 		}
 		holders[o.Fence] = o.Holder
 		previous, ok := last[o.Replica]
@@ -41,15 +42,16 @@
 		switch {
 		case !ok:
 		case o.Fence < previous.Fence:
-			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "fence %d of %s after %d of %s", o.Fence, o.Holder, previous.Fence, previous.Holder)
+			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "order with fence %d of %s after fence %d of %s", o.Fence, o.Holder, previous.Fence, previous.Holder)
 		case o.Holder != previous.Holder && o.Arrived.Sub(previous.Arrived) < v.Bounds.Lease:
-			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "%s %s after %s", o.Holder, o.Arrived.Sub(previous.Arrived), previous.Holder)
+			v.addViolation(SingleLeaseHolder, o.Arrived, o.Replica, "order of %s %s after an order of %s", o.Holder, o.Arrived.Sub(previous.Arrived), previous.Holder)
 		}
 	}
 }
 
-// disturbedUntil returns until when a trouble keeps the time of weights from counting: a
-// while longer for the store's.
+// disturbedUntil returns the time until which a fault excludes time from the bounds on
+// weights. Faults of links and of the store do so; those of the store also exclude the
+// contact bound after their end.
 func (v *verifier) disturbedUntil(t InjectedFault) (until time.Time, ok bool) {
 	switch t.Scope {
 	case ScopeLink:
@@ -60,7 +62,7 @@
 	return time.Time{}, false
 }
 
-// replacedAt returns when weights were replaced by newer ones.
+// replacedAt returns the time at which newer weights than the given ones were announced.
 func (v *verifier) replacedAt(weights int64) (at time.Time, ok bool) {
 	for _, n := range v.Announced {
 		if n.Weights > weights {
@@ -70,8 +72,8 @@
 	return time.Time{}, false
 }
 
-// checkWeights checks that no request begins on weights that were replaced a bound ago,
-// as far as that time was sound.
+// checkWeights checks that no request begins on weights that were replaced longer than the
+// bound ago, not counting time that a fault of a link or of the store excludes.
 func (v *verifier) checkWeights() {
 	for _, r := range v.Runs {
 		a, ok := v.byID[r.ID]
@@ -89,15 +91,17 @@
 			}
 		}
 		if r.StartedAt.Sub(since) > v.Bounds.Weights && v.inContact(a.Node, a.Sent, r.StartedAt) {
-			v.addViolation(WeightsCurrent, r.StartedAt, r.ID, "%s sent it to %s with weights %d, %s after newer ones", a.Node, r.Replica, r.Weights, r.StartedAt.Sub(acked))
+			v.addViolation(WeightsCurrent, r.StartedAt, r.ID, "%s sent it to %s with weights %d, %s after newer weights were announced", a.Node, r.Replica, r.Weights, r.StartedAt.Sub(acked))
 		}
 	}
 }
 
-// minSoundStretch is the least sound time in a row that counts for the pool.
+// minSoundStretch is the minimum length of an undisturbed interval that counts towards
+// AllWeights.
 const minSoundStretch = 2 * time.Second
 
-// undisturbedTime adds up the stretches between two times in which neither links nor the store had trouble.
+// undisturbedTime returns the total length of the intervals between two times in which
+// neither a link nor the store had a fault.
 func (v *verifier) undisturbedTime(from, to time.Time) time.Duration {
 	var total time.Duration
 	count := func(until time.Time) {
@@ -119,7 +123,8 @@
 	return total
 }
 
-// checkConvergence checks that the targets get new weights.
+// checkConvergence checks that engines load announced weights within the bound. One engine,
+// or up to a tenth of them, may be late.
 func (v *verifier) checkConvergence() {
 	for _, n := range v.Announced {
 		var behind []string
@@ -139,6 +144,7 @@
 	}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,91 +13,100 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// Kind is a kind of fault, or of change, that a plan has.
+// Kind is the kind of a step: a fault or a planned change.
 type Kind string
 
 // The kinds of steps.
 const (
-	// Pause stops a node's process and continues it, Kill ends it and starts it
-	// again, Stop ends it as planned and starts it again.
+	// Pause suspends a node's process and resumes it, Kill kills and restarts it, Stop
+	// shuts it down gracefully and restarts it.
 	Pause Kind = "pause"
 	Kill  Kind = "kill"
 	Stop  Kind = "stop"
-	// ReloadSettings writes a node's settings anew and says so by a signal, Join adds a node.
+	// ReloadSettings rewrites a node's settings file and sends SIGHUP to the node, AddNode
+	// starts an additional node.
 	ReloadSettings Kind = "hang-up"
 	AddNode        Kind = "join"
-	// StoreFails has the store fail at a node's door, or at all of them.
+	// StoreFails makes the store fail for one node or for all of them. StoreForgets
+	// makes the store drop its change history, so that readers of changes must start over.
 	StoreFails   Kind = "store-fails"
 	StoreForgets Kind = "store-forgets"
-	// StoreRollback has the store come back as it was a length ago, in a new era.
+	// StoreRollback reverts the store to its state at the time Length ago, in a new era.
 	StoreRollback Kind = "store-returns"
-	// StoreLink impairs a node's link to the store, TargetLink all nodes' links to a target.
+	// StoreLink impairs one node's link to the store, TargetLink the links of all nodes to a
+	// target.
 	StoreLink  Kind = "store-link"
 	TargetLink Kind = "target-link"
-	// TargetCrash ends a target and starts it again, TargetDrain has a new one take
-	// its place, TargetUnlist does so without a word, TargetGrey has it fail a part of its requests.
+	// TargetCrash ends a target abruptly and starts another in its slot. TargetDrain drains a
+	// target and replaces it. TargetUnlist replaces a target that is removed from the list
+	// without a drain. TargetGrey makes a target fail a fraction of its requests.
 	TargetCrash Kind = "target-crash"
-	// TargetRestart ends a target and starts it again under its id, by whatever clock.
+	// TargetRestart ends a target abruptly and restarts it under the same id, with a clock
+	// that is ahead or behind.
 	TargetRestart Kind = "target-again"
 	TargetDrain   Kind = "target-drain"
 	TargetUnlist  Kind = "target-hide"
 	TargetGrey    Kind = "target-grey"
-	// SuspectRequest has copies of one request come, under which each engine ends that begins to run it.
+	// SuspectRequest sends copies of one request that crashes each engine that begins to run it.
 	SuspectRequest Kind = "request-deadly"
-	// TargetHintsLimit, TargetHintsDraining and TargetHintsBackoff have a target say in its answers what it needs.
+	// TargetHintsLimit, TargetHintsDraining and TargetHintsBackoff make a target announce in
+	// its answers a limit, that it drains, or a back-off.
 	TargetHintsLimit    Kind = "target-names-limit"
 	TargetHintsDraining Kind = "target-says-leaving"
 	TargetHintsBackoff  Kind = "target-rests"
-	// OrdersLate has a target leave orders unanswered and carry them out late.
+	// OrdersLate makes a target leave orders unanswered and execute them late.
 	OrdersLate Kind = "orders-late"
-	// AnnounceWeights names new weights, Reconfigure declares a new configuration.
+	// AnnounceWeights announces new weights, Reconfigure writes a new configuration.
 	AnnounceWeights Kind = "name-weights"
 	Reconfigure     Kind = "reconfigure"
 )
 
-// Step is one fault or change.
+// Step is one fault or planned change, and the time at which it begins.
 type Step struct {
 	At   time.Duration
 	Kind Kind
-	// Subject is the place of the node or target that it hits; Everyone hits all.
+	// Subject is the index of the node or target affected; AllNodes stands for all nodes.
 	Subject int
-	// Length is how long it holds, or until the process is started again.
+	// Length is the duration of the fault, or the time until the process starts again.
 	Length time.Duration
 	Link   LinkState           `json:",omitempty"`
 	Outage platformtest.Outage `json:",omitempty"`
 }
 
-// AllNodes is the subject of a step that hits all nodes.
+// AllNodes is the subject of a step that affects all nodes.
 const AllNodes = -1
 
-// Plan is what a seed determines.
+// Plan is the sequence of steps that a seed determines, with the size of the cluster.
 type Plan struct {
 	Seed uint64
-	// Cause says of a plan that is kept what it showed.
+	// Cause describes the fault that a stored plan revealed.
 	Cause string `json:",omitempty"`
-	// Length is how long faults come, Tail how long callers go on after the last.
+	// Length is the time during which steps begin, Tail the time for which callers continue
+	// after all steps have ended.
 	Length, Tail time.Duration
 	Size         Size
 	Steps        []Step
 }
 
-// Size is the size of an installation.
+// Size gives the numbers of nodes, targets and callers of a cluster.
 type Size struct {
 	Nodes, Engines, Plain, Callers int
 }
 
-// DefaultSize is a small fleet, of which some nodes can be down without the others being full.
+// DefaultSize is a small cluster with enough capacity that some nodes can be down without
+// overloading the others.
 var DefaultSize = Size{Nodes: 5, Engines: 9, Plain: 3, Callers: 10}
 
-// DefaultTail is the time for recovery, and some to see that it came.
+// DefaultTail covers the recovery bound and the time to observe that service has recovered.
 const DefaultTail = 16 * time.Second
 
-// pattern is how the steps of one kind follow on each other.
+// pattern is the distribution of the steps of one kind over time and subjects.
 type pattern int
 
 const (
-	// scattered steps come at any time, consecutive ones hit the subjects one after
-	// the other, herd ones hit most at once, again ones hit one several times.
+	// Scattered steps occur at random times, consecutive steps affect one subject after the
+	// other, a burst affects most nodes at once, and repeated steps affect one subject several
+	// times.
 	scattered pattern = iota
 	consecutive
 	burst
@@ -105,7 +114,8 @@
 	patterns
 )
 
-// kindSettings is a kind with its part of the plans, and the bounds of its steps.
+// kindSettings holds a kind with the probability that a plan contains it, the bounds of the
+// length of its steps, and their maximum number.
 type kindSettings struct {
 	kind        Kind
 	probability float64
@@ -114,12 +124,11 @@
 	maxCount    int
 }
 
-// kindTable are the kinds that plans are drawn from. The parts were chosen so that a
-// plan has some five of the kinds, and half of the plans have no fault of a link or
-// the store: such a fault excuses nodes from most bounds for a while. Pauses and
-// starts last up to a few seconds, which is around the time after which nodes
-// have to be in touch again (3 s). Late orders are late for
-// longer than the bound of weights (10 s).
+// kindTable lists the kinds from which plans are generated. The probabilities give a plan
+// about five kinds, and leave half of the plans without a fault of a link or the store, since
+// such a fault exempts nodes from most bounds for a while. Pauses and restarts last up to a
+// few seconds, close to the time after which nodes must be in contact again (3 s). Late
+// orders are delayed for longer than the bound on weights (10 s).
 var kindTable = []kindSettings{
 	{Pause, 0.35, 200 * time.Millisecond, 5 * time.Second, 5},
 	{Kill, 0.4, 50 * time.Millisecond, 3 * time.Second, 5},
@@ -145,7 +154,8 @@
 	{StoreRollback, 0.2, 300 * time.Millisecond, 8 * time.Second, 3},
 }
 
-// links and outages are what the faults of links and of the store are drawn from.
+// links and outages list the faults of links and of the store. A repeated entry has a higher
+// probability.
 var (
 	links   = []LinkState{Delayed, CutUp, CutDown, Stall, Reset}
 	outages = []platformtest.Outage{
@@ -154,7 +164,8 @@
 	}
 )
 
-// focuses are kinds that bring faults out together; a seed draws one of them, or none.
+// focuses are groups of kinds that are likely to reveal faults in combination. A plan uses
+// one of them, or none.
 var focuses = [][]Kind{
 	nil,
 	{AnnounceWeights, OrdersLate, Kill, Stop, Pause, AddNode},
@@ -163,13 +174,14 @@
 	{TargetDrain, TargetUnlist, TargetCrash, TargetRestart, Stop, Reconfigure},
 }
 
-// The parts of plans that have a kind of the focus, and by how much rarer the others are.
+// focusProbability is the probability of each kind of the focus. otherKindsFactor reduces
+// the probability of the other kinds.
 const (
 	focusProbability = 0.8
 	otherKindsFactor = 0.3
 )
 
-// GeneratePlan returns the plan of a seed.
+// GeneratePlan returns the plan that a seed determines.
 func GeneratePlan(seed uint64, length time.Duration, size Size) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	p := Plan{Seed: seed, Length: length, Tail: DefaultTail, Size: size}
@@ -190,19 +202,20 @@
 	return p
 }
 
-// The times between steps that follow on each other, and those within a herd.
+// minGap and maxGap bound the time between successive steps, burstGap the time between those
+// of a burst.
 const (
 	minGap   = time.Second
 	maxGap   = 6 * time.Second
 	burstGap = 300 * time.Millisecond
 )
 
-// generateSteps returns the steps of one kind.
+// generateSteps returns the steps of one kind for a plan.
 func (c kindSettings) generateSteps(rng *rand.Rand, length time.Duration, size Size) []Step {
 	within := func(least, most time.Duration) time.Duration { return least + randomDuration(rng, most-least) }
 	order := pattern(rng.IntN(int(patterns)))
 	if c.kind == OrdersLate {
-		// One late target delays little.
+		// A single target with late orders hardly delays a weights rolling update.
 		order = burst
 	}
 	subject, count := rng.IntN(size.Nodes+size.Engines), 1+rng.IntN(c.maxCount)
@@ -214,7 +227,7 @@
 	}
 	at, gap := within(0, length*2/3), within(minGap, maxGap)
 	if c.kind == OrdersLate || c.kind == AnnounceWeights {
-		// What comes of them takes longer than a third of a plan.
+		// The rolling updates that these steps start or delay take longer than a third of a plan.
 		at /= 3
 	}
 	var out []Step
@@ -241,12 +254,12 @@
 	return out
 }
 
-// randomDuration draws a time from zero up to a bound.
+// randomDuration returns a random duration of at least zero and below a bound.
 func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Int64N(int64(max(1, limit))))
 }
 
-// setDetails draws what only some kinds have.
+// setDetails sets the fields of a step that only some kinds use.
 func (c kindSettings) setDetails(rng *rand.Rand, s *Step) {
 	switch c.kind {
 	case StoreFails:
@@ -261,7 +274,7 @@
 	}
 }
 
-// ReadPlan reads a plan from a file.
+// ReadPlan reads a plan from a JSON file.
 func ReadPlan(file string) (Plan, error) {
 	var p Plan
 	data, err := os.ReadFile(file)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -17,14 +17,14 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// node is a VM of the installation, with the process that runs there now.
+// node is a VM of the cluster with the process that currently runs there.
 type node struct {
 	name string
-	// program is the file of pathhead-node, dir the folder for settings and logs.
+	// program is the path of the pathhead-node binary, dir the folder for settings and logs.
 	program  string
 	dir      string
 	settings platformtest.Settings
-	// door is the node's own at the store, link the proxy before it.
+	// door is the endpoint of the store that only this node uses, link the proxy in front of it.
 	door *platformtest.Endpoint
 	link *Proxy
 
@@ -33,27 +33,27 @@
 	boot    int
 }
 
-// process is one start of a node.
+// process is one run of a node's program.
 type process struct {
 	cmd  *exec.Cmd
 	boot int
-	// ended is closed once the process is gone.
+	// ended is closed once the process has exited.
 	ended chan struct{}
-	// wanted says that the soak ends it.
+	// expected reports that the soak test itself ends the process.
 	expected bool
 }
 
-// settingsFile is the node's settings file.
+// settingsFile returns the path of the node's settings file.
 func (n *node) settingsFile() string { return filepath.Join(n.dir, n.name+".toml") }
 
-// writeSettings writes the node's settings with the seeds as they are now.
+// writeSettings writes the node's settings file with the given seeds.
 func (n *node) writeSettings(seeds []netip.AddrPort) error {
 	n.settings.Seeds = seeds
 	return errs.Wrap(os.WriteFile(n.settingsFile(), []byte(n.settings.TOML()), 0o600))
 }
 
-// start starts the node's process unless one runs. Its output goes to a file of its
-// own; ended hears of an end that the soak did not bring about.
+// start starts the node's process unless one is running. Each process writes its output to
+// a separate file. onExit is called if the process exits unexpectedly or with an error.
 func (n *node) start(onExit func(n *node, state string)) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 	n.current = p
 	go func() {
-		// How it ended is read from its state.
+		// The process state below has the result.
 		_ = p.cmd.Wait()
 		n.mu.Lock()
 		expected := p.expected
@@ -91,32 +91,32 @@
 	return nil
 }
 
-// running returns the node's process, or nil while there is none.
+// running returns the node's current process, or nil if none is running.
 func (n *node) running() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
 }
 
-// signal sends the process a signal by its id; wanted says that it is to end by it.
+// signal sends a signal to the process. expected says that the signal is meant to end it.
 func (n *node) signal(p *process, s syscall.Signal, expected bool) {
 	n.mu.Lock()
 	p.expected = p.expected || expected
 	n.mu.Unlock()
-	// A process that has ended takes none.
+	// The signal fails only if the process has exited.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process and waits until it has exited.
 func (n *node) kill(p *process) {
 	n.signal(p, syscall.SIGKILL, true)
 	<-p.ended
 }
 
-// readyTimeout bounds the balancer's question.
+// readyTimeout bounds a readiness probe of the balancer.
 const readyTimeout = time.Second
 
-// ready asks the node as the balancer does.
+// ready probes the node's readiness endpoint as the balancer does.
 func (n *node) ready(ctx context.Context, c *http.Client) bool {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -132,7 +132,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// probeClient returns the balancer's client, which asks over a new connection each time.
+// probeClient returns the balancer's HTTP client, which opens a new connection for each probe.
 func probeClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,30 +10,30 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// LinkState is how a proxy passes bytes on.
+// LinkState is the way in which a proxy forwards bytes.
 type LinkState string
 
-// The states of a link. Silence and Reset hit the connections that are open and
-// leave new ones alone; the others hold until the link is mended.
+// The states of a link. Stall and Reset affect the connections that are open and leave new
+// ones alone. The other states last until the link is restored.
 const (
 	Passing LinkState = "passing"
 	Delayed LinkState = "delayed"
-	// CutUp holds what callers send, CutDown what they are answered, as a
-	// partition does: it comes once the link is mended.
+	// CutUp holds back the bytes that callers send, CutDown those of the answers. As after a
+	// network partition, these bytes arrive once the link is restored.
 	CutUp   LinkState = "cut-up"
 	CutDown LinkState = "cut-down"
-	// Stall passes nothing on any more and resets nothing.
+	// Stall stops forwarding on a connection without resetting it.
 	Stall LinkState = "silence"
 	Reset LinkState = "reset"
 )
 
-// linkDelay is by how much a delayed link holds each piece up. It stays under the
-// guard of 300 ms that a node leaves between its lease and its last order.
+// linkDelay is the delay of each chunk on a delayed link. It is below the 300 ms that a lease
+// holder leaves between its last order and the end of its lease.
 const linkDelay = 120 * time.Millisecond
 
-// Proxy stands before an address and passes connections on.
+// Proxy forwards TCP connections to a target address and injects link faults.
 type Proxy struct {
-	// Addr is where the proxy listens.
+	// Addr is the address at which the proxy listens.
 	Addr netip.AddrPort
 
 	mu      sync.Mutex
@@ -44,30 +44,30 @@
 	conns   map[*proxiedConn]bool
 }
 
-// proxiedConn is one connection through a proxy.
+// proxiedConn is one connection through a proxy, with its downstream and upstream sides.
 type proxiedConn struct {
 	downstream, upstream net.Conn
-	// mute is closed when the pair falls silent.
+	// stalled is closed when the connection stalls.
 	stalled chan struct{}
 }
 
-// close ends both connections; a reset drops what they still hold.
+// close closes both sides. With reset, unsent data is discarded.
 func (p *proxiedConn) close(reset bool) {
 	for _, c := range []net.Conn{p.downstream, p.upstream} {
 		if tcp, ok := c.(*net.TCPConn); ok && reset {
-			// It fails only on a connection that is closed already.
+			// SetLinger fails only on a connection that is already closed.
 			_ = tcp.SetLinger(0)
 		}
 		_ = c.Close()
 	}
 }
 
-// NewProxy returns a proxy at an address that leads nowhere yet.
+// NewProxy returns a proxy for an address. It listens once it has a target.
 func NewProxy(addr netip.AddrPort) *Proxy {
 	return &Proxy{Addr: addr, link: Passing, changed: make(chan struct{}), conns: make(map[*proxiedConn]bool)}
 }
 
-// SetTarget leads new connections to a target.
+// SetTarget forwards new connections to a target, and starts to listen if necessary.
 func (p *Proxy) SetTarget(target netip.AddrPort) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Close refuses new connections, and resets those that are open.
+// Close stops listening and resets open connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	if p.lis != nil {
@@ -95,7 +95,7 @@
 	p.forEachConn(func(c *proxiedConn) { c.close(true) })
 }
 
-// SetState puts the link in a state.
+// SetState sets the state of the link, or stalls or resets its open connections.
 func (p *Proxy) SetState(link LinkState) {
 	switch link {
 	case Reset:
@@ -113,7 +113,7 @@
 	p.changed = make(chan struct{})
 }
 
-// forEachConn does something to all pairs that are open and not silent, which count no longer as such.
+// forEachConn calls do for all open connections that are not stalled, and stops tracking them.
 func (p *Proxy) forEachConn(do func(*proxiedConn)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,6 +123,7 @@
 	clear(p.conns)
 }
 
+// accept serves connections until the listener is closed.
 func (p *Proxy) accept(lis net.Listener) {
 	for {
 		conn, err := lis.Accept()
@@ -133,7 +134,7 @@
 	}
 }
 
-// serve passes one connection on.
+// serve forwards one connection in both directions until both have ended.
 func (p *Proxy) serve(downstream net.Conn) {
 	p.mu.Lock()
 	target := p.target
@@ -157,16 +158,17 @@
 	c.close(false)
 }
 
-// maxChunkBytes is the most that a proxy passes on at once.
+// maxChunkBytes is the maximum number of bytes that a proxy forwards at once.
 const maxChunkBytes = 32 << 10
 
-// forward passes one direction on, and its end.
+// forward forwards the bytes of one direction and then its close. The state cut blocks this
+// direction.
 func (p *Proxy) forward(c *proxiedConn, to, from net.Conn, cut LinkState) {
 	buf := make([]byte, maxChunkBytes)
 	for {
 		n, err := from.Read(buf)
 		if !p.waitToForward(c, cut) {
-			// Each side of a silent connection sees its own end only.
+			// A side of a stalled connection does not learn that the other side has closed it.
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
@@ -183,18 +185,19 @@
 	}
 }
 
-// forwardClose passes on that one side has closed or reset the connection.
+// forwardClose closes or resets the other side after one side was closed or reset.
 func (p *Proxy) forwardClose(c *proxiedConn, to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if !ok || err != io.EOF {
 		c.close(true)
 		return
 	}
-	// It fails only where the other side is closed already.
+	// CloseWrite fails only if the other side is already closed.
 	_ = tcp.CloseWrite()
 }
 
-// waitToForward waits until the link passes a piece on; it is false if the pair is silent.
+// waitToForward blocks until the link may forward a chunk. It returns false if the connection
+// is stalled.
 func (p *Proxy) waitToForward(c *proxiedConn, cut LinkState) bool {
 	delayed := false
 	for {
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echoProxy answers each line with the same line, and returns a proxy before it.
+// echoProxy starts a server that echoes lines, and returns a proxy in front of it.
 func echoProxy(t *testing.T) *Proxy {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	return p
 }
 
-// lineConn is a connection to an echo.
+// lineConn is a connection to the echo server.
 type lineConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -58,7 +58,7 @@
 	return &lineConn{c, bufio.NewReader(c)}
 }
 
-// roundTrip sends a line and reports what becomes of it within a time.
+// roundTrip sends a line and waits up to d for the same line.
 func (c *lineConn) roundTrip(d time.Duration) error {
 	if _, err := c.Write([]byte("hello\n")); err != nil {
 		return err
@@ -66,6 +66,7 @@
 	return c.readLine(d)
 }
 
+// readLine waits up to d for a line.
 func (c *lineConn) readLine(d time.Duration) error {
 	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
 		return err
@@ -74,15 +75,15 @@
 	return err
 }
 
-// The times of these tests: what comes at all comes within long, and what is held is
-// not there after short.
+// replyTimeout bounds the wait for lines that must arrive. stallWait is the time for which the
+// tests wait for lines that are held back.
 const (
 	stallWait    = 50 * time.Millisecond
 	replyTimeout = 10 * time.Second
 )
 
-// What is held by a cut comes once the link is mended; what falls silent does so for
-// good and is not reset, while new connections work.
+// Bytes that a cut or delay holds back arrive once the link is restored. A stalled connection
+// stays stalled and is not reset, while new connections work.
 func TestProxy(t *testing.T) {
 	p := echoProxy(t)
 	c := connect(t, p.Addr)
@@ -103,7 +104,7 @@
 	require.NoError(t, second.roundTrip(replyTimeout))
 	p.SetState(Reset)
 	require.Error(t, second.roundTrip(replyTimeout))
-	require.ErrorAs(t, c.readLine(stallWait), &timeout, "a reset leaves the silent connection alone")
+	require.ErrorAs(t, c.readLine(stallWait), &timeout, "a reset does not affect the stalled connection")
 	require.True(t, timeout.Timeout())
 	p.Close()
 	_, err := net.Dial("tcp4", p.Addr.String())
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -7,34 +7,34 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// Scope is what a trouble hits.
+// Scope is the part of the cluster that a fault affects.
 type Scope string
 
-// The scopes of troubles. No node is in touch for a while after one of the store,
-// nor after one of a link that all nodes use.
+// The scopes of faults. After a fault of the store, or of a link that all nodes use, no node
+// counts as in contact for some time.
 const (
 	ScopeNode   Scope = "node"
 	ScopeLink   Scope = "link"
 	ScopeStore  Scope = "store"
 	ScopeTarget Scope = "target"
 	ScopeOrders Scope = "orders"
-	// ScopePlanned is a change that is no trouble.
+	// ScopePlanned is the scope of a planned change, which is not a fault.
 	ScopePlanned Scope = "plan"
 )
 
-// InjectedFault is a fault as it was injected.
+// InjectedFault is a fault or planned change, with the time for which it lasted.
 type InjectedFault struct {
 	Scope Scope
 	Kind  Kind
-	// Subject is the node or target, empty for all.
+	// Subject is the node or target affected, empty for all.
 	Subject string
 	Detail  string
 	From    time.Time
-	// Until is zero while it holds.
+	// Until is zero while the fault lasts.
 	Until time.Time
 }
 
-// end returns when the trouble ended, or now while it holds.
+// end returns the time at which the fault ended, or now while it lasts.
 func (t InjectedFault) end(now time.Time) time.Time {
 	if t.Until.IsZero() {
 		return now
@@ -42,40 +42,41 @@
 	return t.Until
 }
 
-// Attempt is one request of a caller, and what came of it.
+// Attempt is one request of a caller with its result.
 type Attempt struct {
 	ID string
-	// Call is shared by the attempts of one call.
+	// Call is the id of the call. All attempts of the call share it.
 	Call string
 	Kind CallKind
 	Path string
 	Key  string
-	// Parts and Body are the prompt and the body that were sent.
+	// Parts and Body are the prompt parts and the body that the caller sent.
 	Parts string
 	Body  string
-	// Node and Boot name the process that took it, empty if no connection was got;
-	// Kept says that the connection had been used before.
+	// Node and Boot name the process that accepted the connection, and are empty if there was
+	// none. Kept reports that an earlier request had used the connection.
 	Node string
 	Boot int
 	Kept bool
 	Sent time.Time
-	// Done is zero while the answer is awaited.
+	// Done is the time at which the attempt ended, zero while the caller waits.
 	Done   time.Time
 	Status int
 	Seal   string
 	AnswerID,
 	Answer string
-	// Err says why the answer is not whole; Left that the caller gave it up.
+	// Err is the reason why the answer is incomplete. Left reports that the caller cancelled
+	// the attempt or that its deadline passed.
 	Err  string
 	Left bool
-	// Deadly says that engines end which begin to run it.
+	// Deadly reports that the request crashes engines that begin to run it.
 	Deadly bool `json:",omitempty"`
 }
 
-// CallKind is a kind of call.
+// CallKind is the kind of a call: how it is answered and whether it may be repeated.
 type CallKind string
 
-// The kinds of calls. A stream and a once-only call may run once.
+// The kinds of calls. StreamCall and OnceCall may run at most once.
 const (
 	StreamCall CallKind = "stream"
 	ResumeCall CallKind = "resume"
@@ -83,79 +84,83 @@
 	SafeCall   CallKind = "safe"
 )
 
-// atMostOnce reports whether calls of the kind may run only once.
+// atMostOnce reports whether calls of the kind may run at most once.
 func (k CallKind) atMostOnce() bool { return k == StreamCall || k == OnceCall }
 
-// streams reports whether calls of the kind are answered by a stream.
+// streams reports whether the answer to calls of the kind is a stream.
 func (k CallKind) streams() bool { return k == StreamCall || k == ResumeCall }
 
-// ConfigWrite is a configuration that the operator wrote, and when it was acknowledged.
+// ConfigWrite is a configuration that the operator wrote, with the times of the write and of
+// its acknowledgement.
 type ConfigWrite struct {
 	Config platformtest.Config
 	Sent   time.Time
 	Acked  time.Time
 }
 
-// WeightsAnnouncement is a naming of weights.
+// WeightsAnnouncement is the announcement of new weights and the time of its acknowledgement.
 type WeightsAnnouncement struct {
 	Weights int64
 	Acked   time.Time
 }
 
-// Target is the life of a target.
+// Target describes a target and the times at which its state changed.
 type Target struct {
 	ID      string
 	Service string
 	Started time.Time
-	// Leaving is when it said that it leaves, or was taken off the list; Ended when it ended.
+	// DrainingSince is the time at which the target began to drain or was removed from the
+	// list, Ended the time at which it ended.
 	DrainingSince time.Time
 	Ended         time.Time
-	// Weights are those that it has now.
+	// Weights are the current weights of the target.
 	Weights int64
 }
 
-// Record is all that a soak saw.
+// Record holds everything that was observed during the run of a plan.
 type Record struct {
 	Bounds   Bounds
 	Start    time.Time
 	Attempts []Attempt
 	Runs     []platformtest.Run
 	Orders   []platformtest.ReceivedOrder
-	// Arrivals are the requests that came to targets, in their order.
+	// Arrivals are the requests that reached targets, in order of arrival.
 	Arrivals  []platformtest.Arrival
 	Configs   []ConfigWrite
 	Announced []WeightsAnnouncement
 	Targets   []Target
 	Faults    []InjectedFault
-	// Ends are processes that ended by themselves.
+	// Exits are unexpected exits of processes, and errors of the soak test itself.
 	Exits []InjectedFault
-	// Calm is when the last trouble had ended, zero before.
+	// FaultsEnded is the time at which all steps had ended, zero before.
 	FaultsEnded time.Time
-	// Over says that no more requests come.
+	// Finished reports that no more requests are sent.
 	Finished bool
-	// Now is when the record was taken.
+	// Now is the time at which the record was taken.
 	Now time.Time
 }
 
-// Bounds are the promises' bounds: those that nodes are told, and those that only checks use.
+// Bounds holds the time bounds of the guarantees: those in the settings of nodes, and those
+// that only the checks use.
 type Bounds struct {
 	platformtest.Bounds
-	// AllWeights is within how much sound time all targets get the newest weights.
+	// AllWeights is the undisturbed time within which all engines load the newest weights.
 	AllWeights time.Duration
-	// Back is how long after its effect was seen a process may still answer by an
-	// older configuration.
+	// StaleConfig is the time for which a process may still use an older configuration after
+	// the effect of a newer one was observed.
 	StaleConfig time.Duration
-	// Thaw is how long after a pause or cut orders don't count.
+	// OrderGrace is the time after a pause or a link fault during which orders are not checked.
 	OrderGrace time.Duration
-	// Loss is how long a request may cross the close of its connection.
+	// CloseRace is the time for which a request may be under way on a connection that the
+	// other side closes.
 	CloseRace time.Duration
-	// Recovery is within how much time after the last trouble calls are served again.
+	// Recovery is the time after the last fault within which requests succeed again.
 	Recovery time.Duration
-	// Answer is how long after a route's time an answer may come.
+	// AnswerSlack is the time by which an answer may exceed its route's timeout.
 	AnswerSlack time.Duration
 }
 
-// DefaultBounds are those of the users' installations.
+// DefaultBounds are the bounds of production installations.
 var DefaultBounds = Bounds{
 	Bounds: platformtest.Bounds{
 		Drain: 2 * time.Second, Grace: 8 * time.Second, Apply: 2 * time.Second, Revoke: 5 * time.Second,
@@ -167,20 +172,20 @@
 	AnswerSlack: 500 * time.Millisecond,
 }
 
-// recorder takes a record while the soak runs.
+// recorder collects a record while a plan runs.
 type recorder struct {
 	mu  sync.Mutex
 	rec Record
 }
 
-// update changes the record.
+// update calls change with the record, under the lock.
 func (b *recorder) update(change func(r *Record)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.rec)
 }
 
-// beginFault notes a trouble that holds until the function that is returned is called.
+// beginFault records a fault that lasts until the returned function is called.
 func (b *recorder) beginFault(t InjectedFault) (end func()) {
 	t.From = time.Now()
 	index := 0
@@ -193,5 +198,5 @@
 	}
 }
 
-// recordFault notes what happens at one moment.
+// recordFault records an instantaneous fault or change.
 func (b *recorder) recordFault(t InjectedFault) { b.beginFault(t)() }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -21,8 +21,8 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// saveArtifacts leaves the plan, the report, the time line and the joined logs of a run that
-// failed in its folder, and removes the folder of one that did not.
+// saveArtifacts writes the plan, the report, the timeline and the joined logs to the folder
+// of a failed run, and removes the folder of a successful one.
 func (s *Soak) saveArtifacts(res *Result) error {
 	if len(res.Violations) == 0 {
 		err := os.RemoveAll(res.Dir)
@@ -46,10 +46,10 @@
 	return res.writeJoinedLog()
 }
 
-// maxListed is how many breaches of one promise a report lists.
+// maxListed is the number of violations of one guarantee that a report lists.
 const maxListed = 5
 
-// Write writes the report of a run.
+// Write writes the report of a run to w.
 func (res Result) Write(w io.Writer) {
 	kinds := make(map[Kind]int)
 	for _, step := range res.Plan.Steps {
@@ -84,13 +84,14 @@
 	}
 }
 
-// logLine is a line of the joined log.
+// logLine is a line of the joined log with its time.
 type logLine struct {
 	at   time.Time
 	text string
 }
 
-// writeJoinedLog writes the logs of all processes, the faults and the breaches in the order of time.
+// writeJoinedLog writes the logs of all processes, the faults, the orders and the violations
+// to one file, ordered by time.
 func (res Result) writeJoinedLog() error {
 	var all []logLine
 	add := func(at time.Time, format string, args ...any) {
@@ -132,7 +133,7 @@
 	return errs.Wrap(w.Flush())
 }
 
-// readLog reads a process's log; a line without a time stands after the one before it.
+// readLog reads a process's log. A line without a time has the time of the line before it.
 func readLog(name string) ([]logLine, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -142,7 +143,7 @@
 	var at time.Time
 	process := strings.TrimSuffix(filepath.Base(name), ".log")
 	for line := range strings.Lines(string(data)) {
-		// An event's time is in nanoseconds, with a logical count after a point.
+		// The time of an event is in nanoseconds, followed by a point and a logical counter.
 		nanos, _, _ := strings.Cut(gjson.Get(line, "at").String(), ".")
 		if n, err := strconv.ParseInt(nanos, 10, 64); err == nil {
 			at = time.Unix(0, n)
@@ -152,18 +153,18 @@
 	return out, nil
 }
 
-// The size of a time line.
+// The dimensions of the timeline plot.
 const (
 	plotWidth     = 12 * vg.Inch
 	plotRowHeight = 0.3 * vg.Inch
 	plotMargin    = 1.5 * vg.Inch
 )
 
-// plot draws the faults as bars over time, a row for each kind, with the breaches as
-// crosses, a row for each promise.
+// plot writes a timeline that shows faults as bars, with a row for each kind, and violations
+// as crosses, with a row for each guarantee.
 func (res Result) plot(file string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Seed %d: faults (bars) and broken promises (crosses)", res.Plan.Seed)
+	p.Title.Text = fmt.Sprintf("Seed %d: faults (bars) and violated guarantees (crosses)", res.Plan.Seed)
 	p.X.Label.Text = "s"
 	var rows []string
 	row := func(name string) float64 {
--- a/internal/soak/said.go
+++ b/internal/soak/said.go
@@ -10,17 +10,20 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// The figures of targets that say in their answers what they need.
+// The parameters of the hints that targets announce in their answers.
 const (
-	// hintedLimit is the requests a second that a target takes of all nodes together.
+	// hintedLimit is the number of requests per second that a target accepts from all nodes
+	// together.
 	hintedLimit = 1.0
-	// hintedBackoff is the rest that a target asks for with half of its answers, which are refusals.
+	// hintedBackoff is the back-off that a target requests when it refuses a request.
+	// backoffFraction is the fraction of requests that it refuses.
 	hintedBackoff   = 2 * time.Second
 	backoffFraction = 0.5
 )
 
-// sendHints has a target say in its answers for a while what it needs. One that says that it leaves ends
-// then, and another takes its place; its entry has it as ready all the time.
+// sendHints makes a target announce hints in its answers for the step's length. A target that
+// announces that it drains ends afterwards, and another starts in its slot. Its entry marks it
+// as ready all the time, so that nodes learn of the drain only through the hints.
 func (s *cluster) sendHints(ctx context.Context, step Step, sl *slot) {
 	if step.Kind == TargetHintsDraining {
 		if !s.claim(sl) {
@@ -55,26 +58,29 @@
 	}
 }
 
-// The bounds on what targets get that say what they need.
+// The bounds on the requests to targets that announce hints.
 const (
-	// limitWindow, limitFactor and limitSlack bound what one that names a limit gets in any such window, from
-	// nodes that passed on an answer which named it as long as hintDelay before.
+	// limitFactor times the limit that a target announces, plus limitSlack, bounds the requests
+	// that the target receives within any limitWindow from nodes that have forwarded an answer
+	// with the limit at least hintDelay before.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 	hintDelay   = 500 * time.Millisecond
-	// maxDuringBackoff is how many requests of a node may reach one that it was asked to leave at rest, from
-	// hintDelay after it was asked on.
+	// maxDuringBackoff is the number of requests that a node may send to a target during a
+	// back-off that the target requested from it, starting hintDelay after the request for
+	// the back-off.
 	maxDuringBackoff = 2
 )
 
-// arrival is a request that came to a target, and the node that sent it there.
+// arrival is a request that reached a target, with the caller's attempt, which names the node
+// that forwarded it.
 type arrival struct {
 	platformtest.Arrival
 	attempt *Attempt
 }
 
-// nodeStart names a start of a node.
+// nodeStart identifies one run of a node's process.
 type nodeStart struct {
 	node string
 	boot int
@@ -82,7 +88,8 @@
 
 func (a arrival) sender() nodeStart { return nodeStart{a.attempt.Node, a.attempt.Boot} }
 
-// arrivals returns what came to each start of a target, in order.
+// arrivals returns the requests that reached each incarnation of a target, in order of
+// arrival.
 func (v *verifier) arrivals() map[string][]arrival {
 	out := make(map[string][]arrival)
 	for _, a := range v.Arrivals {
@@ -94,7 +101,8 @@
 	return out
 }
 
-// hintTimes returns when each node had passed on an answer to one of the requests that says something.
+// hintTimes returns for each node the earliest time by which it had forwarded a complete
+// answer to one of the requests that matches.
 func (v *verifier) hintTimes(all []arrival, matches func(platformtest.Arrival) bool) map[nodeStart]time.Time {
 	out := make(map[nodeStart]time.Time)
 	for _, a := range all {
@@ -109,8 +117,9 @@
 	return out
 }
 
-// checkDrainingHints checks that a target which says in its answers that it leaves gets no work of nodes that
-// passed such answers on, whatever the list and the store have of it.
+// checkDrainingHints checks that a target that announces in its answers that it drains receives
+// no requests from nodes that have forwarded such answers, whatever the list and the store
+// report about it.
 func (v *verifier) checkDrainingHints() {
 	hintsDraining := func(a platformtest.Arrival) bool { return a.Hints.Get(platformtest.HintDraining) != "" }
 	for _, all := range v.arrivals() {
@@ -118,18 +127,19 @@
 		for _, a := range all {
 			at, ok := hinted[a.sender()]
 			if ok && a.attempt.Sent.After(at.Add(v.Bounds.Drain)) && v.ranThroughout(a.attempt.Node, at, a.At) {
-				v.addViolation(DrainingHintFollowed, a.At, a.ID, "%s sent it to %s %s after an answer had said that it leaves", a.attempt.Node, a.Replica, a.attempt.Sent.Sub(at))
+				v.addViolation(DrainingHintFollowed, a.At, a.ID, "%s sent it to %s %s after an answer had announced that the target drains", a.attempt.Node, a.Replica, a.attempt.Sent.Sub(at))
 			}
 		}
 	}
 }
 
-// ranThroughout reports whether a node's process was not stopped meanwhile.
+// ranThroughout reports whether no fault affected a node's process between two times.
 func (v *verifier) ranThroughout(node string, from, to time.Time) bool {
 	return v.noFault(from, to, func(t InjectedFault) bool { return t.Scope == ScopeNode && t.Subject == node })
 }
 
-// checkLimitHints checks that a target which names a limit gets no more than it allows of the nodes that it told.
+// checkLimitHints checks that a target that announces a limit receives no more requests than
+// the limit allows from nodes that have forwarded an answer with it.
 func (v *verifier) checkLimitHints() {
 	hintsLimit := func(a platformtest.Arrival) bool { return a.Hints.Get(platformtest.HintLimit) != "" }
 	for _, all := range v.arrivals() {
@@ -153,14 +163,15 @@
 			}
 			limit, err := strconv.ParseFloat(a.Hints.Get(platformtest.HintLimit), 64)
 			if most := limitFactor*limit*limitWindow.Seconds() + limitSlack; err == nil && a.At.After(first.Add(v.Bounds.Contact)) && float64(len(counted)) > most {
-				v.addViolation(LimitHintFollowed, a.At, a.ID, "%d in %s at %s, which takes %g a second", len(counted), limitWindow, a.Replica, limit)
+				v.addViolation(LimitHintFollowed, a.At, a.ID, "%d requests within %s at %s, which announced a limit of %g per second", len(counted), limitWindow, a.Replica, limit)
 				counted = nil
 			}
 		}
 	}
 }
 
-// checkBackoffHints checks that a target which asked a node for rest gets next to nothing of it meanwhile.
+// checkBackoffHints checks that a target that requested a back-off from a node receives at most
+// maxDuringBackoff requests from it during that time.
 func (v *verifier) checkBackoffHints() {
 	for _, all := range v.arrivals() {
 		for k, refused := range all {
@@ -178,7 +189,7 @@
 					n++
 				}
 				if n > maxDuringBackoff {
-					v.addViolation(BackoffHintFollowed, a.At, a.ID, "%s sent %d to %s, which had asked it for rest %s before", a.attempt.Node, n, a.Replica, a.At.Sub(refused.ShedAt))
+					v.addViolation(BackoffHintFollowed, a.At, a.ID, "%s sent %d requests to %s, which had requested a back-off %s before", a.attempt.Node, n, a.Replica, a.At.Sub(refused.ShedAt))
 					break
 				}
 			}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -15,7 +15,8 @@
 	"github.com/pathhead/pathhead/platform/platformtest"
 )
 
-// The names of the installation.
+// The names of the cluster's host, model and services. The foreign service starts at addresses
+// of targets that have ended.
 const (
 	hostName    = "api.example"
 	modelName   = "m1"
@@ -27,27 +28,28 @@
 	spareTargets = 2
 )
 
-// The times of the stand-ins.
+// The timing of requests, streams and restarts.
 const (
-	// routeTime is what routes give a request, callTime what its caller waits.
+	// routeTime is the timeout of all routes, callTime the time for which a caller waits.
 	routeTime = 3 * time.Second
 	callTime  = 4 * time.Second
-	// streamEvents and eventGap make a stream last some 0.3 s.
+	// With streamEvents and eventGap, a stream lasts about 0.3 s.
 	streamEvents = 10
 	eventGap     = 30 * time.Millisecond
-	// restartDelay is after how long a process that ended by itself is started again.
+	// restartDelay is the time until a process that exited unexpectedly is restarted.
 	restartDelay = 500 * time.Millisecond
 )
 
-// slot is the place of a target, with the one that is there now.
+// slot is the address of a target behind a proxy, with the target that currently runs there.
 type slot struct {
 	proxy   *Proxy
 	replica *platformtest.Replica
-	// taken says that a step ends its target, which others leave alone meanwhile.
+	// claimed reports that a step is about to end the target. Other steps that would end it
+	// are skipped meanwhile.
 	claimed bool
 }
 
-// cluster is an installation with its nodes and stand-ins.
+// cluster is a running installation: node processes, and stand-ins for the store and targets.
 type cluster struct {
 	recorder
 	bounds  Bounds
@@ -56,11 +58,11 @@
 	addrs   *addressPool
 	store   *platformtest.Store
 	runs    *platformtest.RunLog
-	// steps are the faults under way.
+	// steps counts the steps that are being executed.
 	steps sync.WaitGroup
 
 	mu sync.Mutex
-	// held counts the faults that hold a door, a link or a process.
+	// impairments counts the faults that affect each store door, link and process.
 	impairments map[any]int
 	nodes       []*node
 	slots       []*slot
@@ -71,7 +73,7 @@
 	closed      bool
 }
 
-// newCluster starts the stand-ins and the nodes of an installation.
+// newCluster starts the stand-ins and the nodes of a cluster.
 func newCluster(program, dir string, bounds Bounds, size Size) (*cluster, error) {
 	free, err := newAddressPool()
 	if err != nil {
@@ -89,7 +91,8 @@
 	return s, nil
 }
 
-// populate starts the targets, in the order that steps count them in, and the nodes.
+// populate starts the targets and the nodes. The order of the targets determines the index by
+// which steps refer to them.
 func (s *cluster) populate(size Size) error {
 	if err := s.announceWeights(); err != nil {
 		return err
@@ -122,7 +125,7 @@
 	return nil
 }
 
-// close ends all processes and stand-ins.
+// close kills all processes and stops the stand-ins.
 func (s *cluster) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -141,26 +144,27 @@
 	_ = s.addrs.guard.Close()
 }
 
-// addressPool gives out addresses of one loopback IP number, which no other soak and
-// no outgoing connection uses: a port that was chosen can't be taken meanwhile.
+// addressPool allocates addresses with a loopback IP address that neither another soak test
+// nor outgoing connections use, so that no other process can bind an allocated port.
 type addressPool struct {
 	ip   netip.Addr
 	used atomic.Uint32
-	// guard listens at the first port, which keeps other soaks from the number.
+	// guard listens at the first port, which reserves the IP address against other soak tests.
 	guard net.Listener
 }
 
-// The loopback numbers that soaks use, from 127.16.0.1 to 127.255.249.1, by their
-// process; 127.0.0.1 is for what gets its port from the kernel.
+// The loopback addresses that soak tests use range from 127.16.0.1 to 127.255.249.1. The
+// search begins at one that depends on the process id. 127.0.0.1 is left to listeners whose
+// port the kernel assigns.
 const (
 	firstNet = 16
 	nets     = 240
 	hosts    = 250
-	// firstPort is the first port that is used of a number.
+	// firstPort is the lowest port that is used with an IP address.
 	firstPort = 8000
 )
 
-// newAddressPool returns the addresses of a loopback number that no other soak uses.
+// newAddressPool returns a pool with a loopback IP address that no other soak test uses.
 func newAddressPool() (*addressPool, error) {
 	begin := os.Getpid()
 	for n := begin; n < begin+nets*hosts; n++ {
@@ -170,15 +174,15 @@
 			return &addressPool{ip: ip, guard: guard}, nil
 		}
 	}
-	return nil, errs.Errorf("no loopback number is free")
+	return nil, errs.Errorf("no free loopback address in 127.%d.0.1 to 127.%d.%d.1", firstNet, firstNet+nets-1, hosts-1)
 }
 
-// next returns an address that was not given out.
+// next returns an address that was not returned before.
 func (a *addressPool) next() netip.AddrPort {
 	return netip.AddrPortFrom(a.ip, uint16(firstPort+a.used.Add(1)))
 }
 
-// prepareNode adds a node whose process does not run yet.
+// prepareNode adds a node without starting its process.
 func (s *cluster) prepareNode() (*node, error) {
 	door, err := s.store.OpenEndpoint()
 	if err != nil {
@@ -197,7 +201,7 @@
 	return n, n.link.SetTarget(door.Addr)
 }
 
-// seeds are the peers' doors of the first nodes.
+// seeds returns the peer addresses of the first nodes.
 func (s *cluster) seeds() []netip.AddrPort {
 	const most = 3
 	var out []netip.AddrPort
@@ -207,19 +211,19 @@
 	return out[:min(most, len(out))]
 }
 
-// allNodes returns the nodes as they are now.
+// allNodes returns a copy of the current list of nodes.
 func (s *cluster) allNodes() []*node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*node(nil), s.nodes...)
 }
 
-// startNode starts a node's process unless one runs or the soak is over.
+// startNode starts a node's process unless one is running or the cluster is closed.
 func (s *cluster) startNode(n *node) error {
 	if err := n.writeSettings(s.seeds()); err != nil {
 		return err
 	}
-	// The lock is held so that no process is started that close does not see.
+	// The lock prevents a start that close would miss.
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -228,7 +232,8 @@
 	return n.start(s.onNodeExit)
 }
 
-// onNodeExit takes a process that ended by itself, or in another way than it was told to.
+// onNodeExit records an unexpected exit of a process, or one with an error, and schedules a
+// restart.
 func (s *cluster) onNodeExit(n *node, state string) {
 	s.update(func(r *Record) {
 		r.Exits = append(r.Exits, InjectedFault{Scope: ScopeNode, Subject: n.name, Detail: state, From: time.Now()})
@@ -236,16 +241,16 @@
 	time.AfterFunc(restartDelay, func() { s.recordError(s.startNode(n)) })
 }
 
-// recordError notes what keeps the soak itself from its work.
+// recordError records an error of the soak test itself.
 func (s *cluster) recordError(err error) {
 	if err != nil {
 		s.update(func(r *Record) {
-			r.Exits = append(r.Exits, InjectedFault{Detail: "the soak: " + err.Error(), From: time.Now()})
+			r.Exits = append(r.Exits, InjectedFault{Detail: "error of the soak test: " + err.Error(), From: time.Now()})
 		})
 	}
 }
 
-// addTarget starts a target of a service at a new place.
+// addTarget starts a target of a service in a new slot.
 func (s *cluster) addTarget(service string) (*slot, error) {
 	sl := &slot{proxy: NewProxy(s.addrs.next())}
 	s.mu.Lock()
@@ -260,7 +265,7 @@
 	return sl, nil
 }
 
-// newID returns an id that no target had.
+// newID returns an id that no target has had.
 func (s *cluster) newID(service string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,7 +273,7 @@
 	return fmt.Sprintf("%s-%d", service, s.targetCount)
 }
 
-// startTarget starts a target at a place, by its own clock at a time.
+// startTarget starts a target in a slot. The target reports the given time as its start.
 func (s *cluster) startTarget(sl *slot, id, service string, weights int64, at time.Time) error {
 	opts := []platformtest.Option{platformtest.WithAdvertisedAddr(sl.proxy.Addr), platformtest.WithStart(at.UnixMilli())}
 	if service == engineName {
@@ -283,14 +288,14 @@
 	sl.replica = r
 	s.mu.Unlock()
 	s.update(func(rec *Record) {
-		// The judge knows a target by its id, of which the last start counts.
+		// The verifier identifies a target by its id. Only its latest start counts.
 		rec.Targets = slices.DeleteFunc(rec.Targets, func(t Target) bool { return t.ID == id })
 		rec.Targets = append(rec.Targets, Target{ID: id, Service: service, Started: time.Now()})
 	})
 	return sl.proxy.SetTarget(r.Addr)
 }
 
-// updateTarget changes what the record says of a target.
+// updateTarget calls change with the record of a target.
 func (s *cluster) updateTarget(id string, change func(t *Target)) {
 	s.update(func(r *Record) {
 		for i := range r.Targets {
@@ -301,7 +306,7 @@
 	})
 }
 
-// writeConfig puts the next configuration in the store.
+// writeConfig writes the next version of the configuration to the store.
 func (s *cluster) writeConfig() error {
 	s.mu.Lock()
 	s.version++
@@ -319,7 +324,7 @@
 	return nil
 }
 
-// announceWeights names the next weights.
+// announceWeights announces the next weights in the store.
 func (s *cluster) announceWeights() error {
 	s.mu.Lock()
 	s.weights++
@@ -341,9 +346,10 @@
 	return s.version
 }
 
-// snapshot returns the record as it is now.
+// snapshot returns a copy of the current record.
 func (s *cluster) snapshot() Record {
-	// Runs come first: an attempt is noted before any run of it can be.
+	// Runs are read before attempts. An attempt is recorded before it can run, so no run in
+	// the snapshot lacks its attempt.
 	runs, orders, arrivals := s.runs.AllRuns(), s.runs.Orders(), s.runs.AllArrivals()
 	s.mu.Lock()
 	weights := make(map[string]int64)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -12,7 +12,7 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Soak plays plans.
+// Soak executes plans against real node processes.
 type Soak struct {
 	programDir string
 	outDir     string
@@ -20,19 +20,19 @@
 	log        *slog.Logger
 }
 
-// Option changes a [Soak] at its construction.
+// Option configures a [Soak].
 type Option func(*Soak)
 
-// WithOutput sets the folder in which failing runs leave their logs.
+// WithOutput sets the folder to which failed runs write their logs.
 func WithOutput(dir string) Option { return func(s *Soak) { s.outDir = dir } }
 
-// WithBounds sets the promises' bounds.
+// WithBounds sets the bounds of the guarantees.
 func WithBounds(b Bounds) Option { return func(s *Soak) { s.bounds = b } }
 
-// WithLogger sets where progress is told.
+// WithLogger sets the logger for violations that are found while a plan runs.
 func WithLogger(log *slog.Logger) Option { return func(s *Soak) { s.log = log } }
 
-// New returns a soak of the programs in a folder.
+// New returns a [Soak] that runs the programs in a folder.
 func New(programs string, opts ...Option) *Soak {
 	s := &Soak{programDir: programs, outDir: os.TempDir(), bounds: DefaultBounds, log: slog.New(slog.DiscardHandler)}
 	for _, opt := range opts {
@@ -41,24 +41,25 @@
 	return s
 }
 
-// Result is what came of a plan.
+// Result is the result of a plan.
 type Result struct {
 	Plan   Plan
 	Record Record
-	// Breaches are the promises that were broken, none if all is well.
+	// Violations are the violations of guarantees that were found.
 	Violations []Violation
-	// Dir has the logs of a run that failed.
+	// Dir is the folder with the logs of a failed run, and empty for a successful one.
 	Dir string
 }
 
-// checkInterval is the time between two looks at the promises while a plan is played,
-// startupTimeout how long the first nodes may take to be ready.
+// checkInterval is the time between two checks while a plan runs. startupTimeout bounds the
+// time until the initial nodes are ready.
 const (
 	checkInterval  = 2 * time.Second
 	startupTimeout = 20 * time.Second
 )
 
-// Run plays a plan and returns what came of it. An error says that it could not be played.
+// Run executes a plan and checks the record. It returns an error only if the plan could not
+// be executed; violations are part of the result.
 func (s *Soak) Run(ctx context.Context, plan Plan) (Result, error) {
 	dir, err := os.MkdirTemp(s.outDir, fmt.Sprintf("seed-%d-", plan.Seed))
 	if err != nil {
@@ -77,10 +78,10 @@
 	rec.Finished = true
 	cl.close()
 	if ctx.Err() != nil {
-		return Result{}, errs.Errorf("seed %d was given up: %w", plan.Seed, ctx.Err())
+		return Result{}, errs.Errorf("seed %d: cancelled: %w", plan.Seed, ctx.Err())
 	}
 	res := Result{Plan: plan, Record: rec, Violations: Verify(rec), Dir: dir}
-	// What broke a promise on the way may look whole at the end.
+	// A violation that was found while the plan ran may not show in the final record.
 	for _, b := range seen {
 		if !slices.ContainsFunc(res.Violations, func(at Violation) bool { return at.Guarantee == b.Guarantee }) {
 			res.Violations = append(res.Violations, b)
@@ -89,7 +90,7 @@
 	return res, s.saveArtifacts(&res)
 }
 
-// awaitReady waits until all nodes take callers.
+// awaitReady waits until all nodes are ready for callers.
 func (s *cluster) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
@@ -97,7 +98,7 @@
 	for _, n := range s.allNodes() {
 		for !n.ready(ctx, c) {
 			if ctx.Err() != nil {
-				return errs.Errorf("%s is not ready", n.name)
+				return errs.Errorf("%s is not ready: %w", n.name, ctx.Err())
 			}
 			wait(ctx, restartDelay)
 		}
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// execute has callers call while the plan's steps come, and for a while after them. It
-// returns the first breach of each promise that was seen on the way.
+// execute runs the callers and the plan's steps, and lets the callers continue for the plan's
+// tail. It returns the first violation of each guarantee that was found meanwhile.
 func (s *Soak) execute(ctx context.Context, cl *cluster, plan Plan) []Violation {
 	calling, stop := context.WithCancel(ctx)
 	defer stop()
@@ -134,7 +135,8 @@
 	return seen
 }
 
-// checkPeriodically judges while the plan is played, tells the first breach of each promise and returns them.
+// checkPeriodically checks the record while the plan runs. It logs and returns the first
+// violation of each guarantee.
 func (s *Soak) checkPeriodically(ctx context.Context, cl *cluster, seed uint64) []Violation {
 	var seen []Violation
 	for ctx.Err() == nil {
@@ -145,7 +147,7 @@
 				continue
 			}
 			seen = append(seen, b)
-			s.log.Warn("a promise is broken", "seed", seed, "promise", b.Guarantee, "after", b.At.Sub(rec.Start), "subject", b.Subject, "detail", b.Detail)
+			s.log.Warn("guarantee violated", "seed", seed, "promise", b.Guarantee, "after", b.At.Sub(rec.Start), "subject", b.Subject, "detail", b.Detail)
 		}
 	}
 	return seen
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/pathhead/pathhead/internal/programs"
 )
 
-// binaries is where the programs are.
+// binaries is the folder with the compiled programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -24,7 +24,7 @@
 	os.Exit(code)
 }
 
-// A seed determines its plan, every kind is drawn, and plans are read back as they were written.
+// A seed always yields the same plan, and the plans of many seeds contain every kind of step.
 func TestGeneratePlan(t *testing.T) {
 	kinds := make(map[Kind]bool)
 	for seed := range uint64(200) {
@@ -38,15 +38,15 @@
 	require.Len(t, kinds, len(kindTable))
 }
 
-// ciSeeds are the seeds that CI plays, for ciTime. Together their steps have processes
-// that are paused, stopped and added, a store and links that fail, targets that come and
-// go, and configurations; the plan that is kept has weights, late orders and kills.
+// ciSeeds are the seeds that CI runs, each for ciTime. Together their plans pause, stop and add
+// processes, make the store and links fail, add and remove targets, and change configurations.
+// The stored plans cover weights, late orders and killed processes.
 var ciSeeds = []uint64{30, 38}
 
 const ciTime = 24 * time.Second
 
-// Real nodes keep the promises under short seeded plans, and under the shortest of
-// those that failed once.
+// Real nodes keep all guarantees under short seeded plans, and under the shortest stored plans
+// that once revealed a fault.
 func TestSoak(t *testing.T) {
 	var plans []Plan
 	for _, file := range []string{"testdata/weights-restarted.json", "testdata/request-deadly.json", "testdata/target-says.json"} {
@@ -75,7 +75,7 @@
 	}
 }
 
-// The plans that are kept are read, and say what they showed.
+// The stored plans can be read, have steps, and describe the fault that they revealed.
 func TestStoredPlans(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	require.NoError(t, err)
