--- a/peer/names_test.go
+++ b/peer/names_test.go
@@ -4,6 +4,7 @@
 	"encoding"
 	"encoding/gob"
 	"reflect"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -28,14 +29,20 @@
 	outer.Check(t, "testdata/names.txt", names)
 }
 
+// modulePath begins the paths of all packages of this module.
+const modulePath = "github.com/pathhead/pathhead"
+
 // gobNames returns the paths of all fields that gob writes for a type, with the kinds that it compares.
-// Names of types are omitted, since gob does not compare them.
+// Names of types of this module are omitted, since gob does not compare them.
 func gobNames(path string, typ reflect.Type, within []reflect.Type) []string {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
 	}
 	if encodesItself(typ) {
-		return []string{path + " encodes itself"}
+		if strings.HasPrefix(typ.PkgPath(), modulePath) {
+			return []string{path + " encodes itself"}
+		}
+		return []string{path + " encoded by " + typ.String()}
 	}
 	switch typ.Kind() {
 	case reflect.Slice, reflect.Array:
