--- a/controller/controller.go
+++ b/controller/controller.go
@@ -30,7 +30,7 @@
 	Seeds     []netip.AddrPort
 	// Lease is the TTL of a pool's lease, which is renewed after a third of it.
 	Lease time.Duration
-	// Every is the time between planning rounds.
+	// PlanEvery is the time between planning rounds.
 	PlanEvery   time.Duration
 	GossipEvery time.Duration
 	PeerTimeout time.Duration
--- a/route/crash_sim_test.go
+++ b/route/crash_sim_test.go
@@ -341,7 +341,7 @@
 
 // crashResult summarizes the outcomes of the clients.
 type crashResult struct {
-	// ends is the largest number of targets that crashed under one guilty request, late the number
+	// crashes is the largest number of targets that crashed under one guilty request, late the number
 	// of sends that came too late.
 	crashes, late int
 	// innocent counts the other clients, answered those that got an answer, held those that were
